--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -104,8 +104,8 @@
       Change{
           .kind = ChangeKind::kAdoptJob,
           .job = id,
-          // The former owner may be back, which this instance learns later
-          // than the store does.
+          // Fails if the former owner has registered again, which the store
+          // knows before this instance does.
           .conditions = {{.key = JobKey(id), .revision = entry.record_revision},
                          {.key = MemberKey(entry.record->owner),
                           .revision = 0}},
@@ -154,8 +154,8 @@
   job.created = context.now;
   job.stored = true;
   for (std::uint32_t k = 0; k < job.occurrences.size(); ++k) {
-    // Also of occurrences that the record does not know: they may have begun
-    // after it was written.
+    // Includes occurrences that the record lacks: they may have begun after it
+    // was written.
     for (std::uint32_t s = 0; s < job.spec.steps.size(); ++s) {
       const auto it = std::find_if(
           record.occurrences.begin(), record.occurrences.end(),
@@ -191,7 +191,7 @@
   }
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    // The regular scan comes to it again.
+    // A scan of all orphans repeats it after the retry delay.
     context.state.scans.erase(it);
     context.state.scanned_at = context.now - kOrphanScan + kStoreRetry;
     return;
--- a/Source/engine/jobs/adoption.h
+++ b/Source/engine/jobs/adoption.h
@@ -1,4 +1,4 @@
-// Takes over jobs whose owner is gone.
+// Adopts jobs whose owner is no longer registered.
 #ifndef BURDOCKROCK_ENGINE_JOBS_ADOPTION_H_
 #define BURDOCKROCK_ENGINE_JOBS_ADOPTION_H_
 
@@ -8,21 +8,28 @@
 
 namespace burdockrock::engine {
 
-// Looks for the jobs of a member that is gone.
+// Scans the store for the jobs of a member that was removed.
 void ScanOrphansOf(Context& context, const std::string& incarnation);
 
-// Looks for jobs of anybody who is gone; for a start, and now and then, should
-// the end of a member have been missed.
+// Scans the store for the jobs of all former members: at startup, and regularly
+// in case the end of a registration was missed.
 void ScanAllOrphans(Context& context);
 
+// Handles one page of a scan's results and requests the next.
 void OnOrphanPage(Context& context,
                   const std::string& prefix,
                   const StoreAnswer& answer);
 
-// Writes adoptions, and learns what runs of the jobs that were adopted.
+// Starts scans and writes adoptions, as due, and advances the recovery of
+// adopted jobs.
 void DriveAdoption(Context& context);
 
+// The adoption was stored at `revision`: restores the job from its record and
+// begins its recovery.
 void OnAdopted(Context& context, const std::string& id, std::uint64_t revision);
+
+// The adoption was not written, as the store had changed: reads the record
+// again.
 void OnAdoptConflict(Context& context, const std::string& id);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/job_table.cc
+++ b/Source/engine/jobs/job_table.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// More runs than one owner can come to: 1,000 starts of one task.
+// Run numbers of one task that are reserved for each owner of its job; more
+// than the starts that one owner can reach.
 constexpr std::uint64_t kRunsPerOwner = 1000;
 
 std::string Span(const Job& job, Time at) {
@@ -19,8 +20,9 @@
                         : std::to_string(ToMilliseconds(at - job.created));
 }
 
-// For each step the milliseconds from the submission to its turn, its first
-// advice, its first and last start, and its end.
+// For each step the milliseconds from the job's creation here until it was
+// ready, its first advice, its first and last start, and its end; "-" if there
+// was none.
 std::string Timeline(const Job& job) {
   std::string text;
   for (const Occurrence& occurrence : job.occurrences) {
@@ -133,7 +135,7 @@
   context.state.totals.failed += state == JobState::kFailed ? 1 : 0;
   std::vector<LogField> fields = {{"job", job.id},
                                   {"state", JobStateName(state)}};
-  if (state != JobState::kCompleted) {  // which has one cause only
+  if (state != JobState::kCompleted) {  // completion has only one cause
     fields.push_back({.key = "cause", .value = cause});
   }
   fields.push_back({.key = "timeline", .value = Timeline(job)});
--- a/Source/engine/jobs/job_table.h
+++ b/Source/engine/jobs/job_table.h
@@ -9,57 +9,60 @@
 
 namespace burdockrock::engine {
 
-// Null when it is not owned.
+// Returns null if this instance doesn't own the job.
 Job* FindJob(State& state, const std::string& id);
 
-// Null when there is no such task of an owned job.
+// Returns null if the job has no such task.
 Task* FindTask(Job& job, const TaskName& name);
 
-// A new job with all of its tasks waiting.
+// Creates a job of the first generation with all of its tasks waiting.
 Job MakeJob(std::string id, JobSpec spec, std::string queue);
 
-// Sets up the tasks of a step that have not been set up yet.
+// Returns the step, and first sets up the occurrence's tasks if needed.
 StepRun& StepAt(Job& job, std::uint32_t occurrence, std::uint32_t step);
 
-// The state that callers see.
+// The state that is reported to callers: final only once it is stored.
 JobState ShownState(const Job& job);
 
-// The job's progress has changed and must be stored.
+// Marks the job's progress as changed, so that it will be stored.
 void MarkChanged(Context& context, Job& job, bool urgent);
 
-// Begins occurrences whose time has come.
+// Begins the occurrences that are due.
 void BeginOccurrences(Context& context, Job& job);
 
-// All tasks of the step have ended done.
+// Whether all tasks of the step are done.
 bool IsStepDone(const Job& job, std::uint32_t occurrence, std::uint32_t step);
 
-// All steps that it waits for are done.
+// Whether the occurrence has begun and all steps that this one depends on are
+// done.
 bool IsStepReady(const Job& job, std::uint32_t occurrence, std::uint32_t step);
 
-// Run numbers rise over all owners of a job: each owner has its own range.
+// The next run number after `last`. Run numbers increase across all owners of a
+// job: each owner has its own range.
 std::uint64_t NextRun(const Job& job, std::uint64_t last);
 
-// Not of an owner before an adoption.
+// Whether the present owner numbered the run, not one before an adoption.
 bool IsRunOfThisOwner(const Job& job, std::uint64_t run);
 
-// The job ends. Its runs are stopped.
+// Ends the job and stops its runs. `cause` is logged unless it completed.
 void EndJob(Context& context, Job& job, JobState state, const char* cause);
 
-// Ends it as completed if all is done.
+// Ends the job as completed if all of its tasks are done.
 void CompleteIfDone(Context& context, Job& job);
 
-// Orders the task's run to stop; repeated by DriveJobs until its end is known.
+// Sends the command to stop the task's run; DriveJobs repeats it until the
+// run's end is known.
 void StopTask(Context& context, Job& job, const TaskName& name, Task& task);
 
-// One order to stop a run, to the owner of its worker. It goes out with the
-// next FlushStops.
+// Queues a command to stop a run, for the owner of its worker. The next
+// FlushStops sends it.
 void SendStop(Context& context,
               const Job& job,
               const TaskName& name,
               const std::string& worker,
               std::uint64_t run);
 
-// Sends the orders of this step, one message for each owner of workers: the
+// Sends the queued stop commands, one message for each owner of workers: the
 // cancel of a job of 36 tasks on the workers of two other instances sends 2
 // messages instead of 20.
 void FlushStops(Context& context);
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Longer ids would not fit into the keys of the store.
+// Longer ids don't fit into the keys of the store.
 constexpr std::size_t kMaxJobIdBytes = 64;
-// An outage of the store that has begun lasts longer than this as a rule, and
-// another entry instance may still reach it.
+// Sent with refusals. A store outage usually lasts longer, but another entry
+// instance may still reach the store.
 constexpr Duration kRetryAfter = milliseconds(1000);
 
 void Answer(Context& context, std::uint64_t call, CallerAnswer answer) {
@@ -47,7 +47,7 @@
          });
 }
 
-// A task that fits on no worker of the service, even an empty one.
+// Finds a task that fits on no worker of the service, even an empty one.
 std::optional<SpecFault> CheckSizes(const State& state,
                                     const JobSpec& spec,
                                     const std::string& service) {
@@ -121,8 +121,8 @@
   Create(context, call, id, queue, std::move(spec));
 }
 
-// Null also for a job that this instance has given up with its registration,
-// unless it had ended by then.
+// Returns null also for a job that this instance has released with its
+// registration, unless the job's end was stored by then.
 Job* FindHeldJob(State& state, const std::string& id) {
   Job* job = FindJob(state, id);
   const bool held =
@@ -130,8 +130,9 @@
   return held ? job : nullptr;
 }
 
-// When a question that comes now is given up: in time for the caller, before
-// the process may be killed, and never at once.
+// When a query that arrives now times out: while the caller still waits, before
+// the process may be killed during a planned stop, and not before a peer could
+// reply.
 Time QuestionDeadline(const Context& context) {
   const Time usual = context.now + kQuestionPatience;
   if (!context.state.stop.asked) {
@@ -150,7 +151,8 @@
         JobReply{.call = asker.call, .known = true, .state = state});
 }
 
-// All that is left of the job runs, so that it may have ended by now.
+// Whether all unfinished tasks of the job are running, so that it may have
+// ended by now.
 bool MayHaveEnded(const Job& job) {
   if (!job.started || job.recovering || IsFinal(job.stored_state)) {
     return false;
@@ -207,9 +209,10 @@
                 .job = caller.job});
 }
 
-// While the store can't be reached, nothing tells whose the job is; its owner
-// does, if it can be reached. An instance that the store turns away would
-// otherwise have no answer for its callers for as long as that lasts.
+// While the store can't be reached, a job's owner can't be looked up, so all
+// members are queried and the owner replies if it can be reached. Otherwise an
+// instance that the store refuses could not answer its callers for as long as
+// that lasts.
 void AskAllWithoutStore(Context& context,
                         std::uint64_t id,
                         WaitingCaller& caller) {
@@ -233,7 +236,7 @@
   }
 }
 
-// True when the caller was answered.
+// Returns true if the caller was answered.
 bool AnswerFromRecord(Context& context,
                       WaitingCaller& caller,
                       const CatalogEntry& entry) {
@@ -248,7 +251,8 @@
   return false;
 }
 
-// True when the caller was answered.
+// Answers the caller if possible, else reads the job's record or queries its
+// owner, as due. Returns true if the caller was answered.
 bool Advance(Context& context, std::uint64_t id, WaitingCaller& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
     if (caller.question == CallerQuestion::kState) {
@@ -276,14 +280,15 @@
   }
   const std::string& owner = entry.record->owner;
   if (FindMember(context.state, owner) == nullptr) {
-    // Not by a record from before the question: the job may have a new owner.
+    // A record that was read before the query arrived doesn't count: the job
+    // may have a new owner.
     const bool read_since = caller.read_from != Time::min();
     if (context.state.stop.asked && read_since &&
         caller.question == CallerQuestion::kState) {
       Answer(context, caller.call, JobShown{.state = entry.record->state});
       return true;
     }
-    caller.read_from = context.now;  // until somebody has adopted it
+    caller.read_from = context.now;  // waits for its adoption
     return false;
   }
   const bool silent = caller.asked == owner &&
@@ -307,7 +312,8 @@
                        .job = job,
                        .since = context.now,
                        .give_up = QuestionDeadline(context)};
-  // A job that its owner was known for is asked about there at once.
+  // If the catalog names the job's owner, the owner is queried without another
+  // read of the store.
   const auto entry = context.state.catalog.find(job);
   const bool cached =
       entry != context.state.catalog.end() && entry->second.record;
@@ -321,7 +327,7 @@
   const CatalogEntry& entry = context.state.catalog[caller.job];
   const bool read_since = entry.record && entry.known_from >= caller.since;
   if (caller.question == CallerQuestion::kState && read_since) {
-    // The owner can't be reached; what it stored last is true.
+    // The owner can't be reached; the state that it stored last still holds.
     Answer(context, caller.call, JobShown{.state = entry.record->state});
     return;
   }
@@ -339,7 +345,8 @@
   Answer(context, call, WaitingShown{.jobs = jobs});
 }
 
-// The cancel goes on; a member that asked for its caller gives up by itself.
+// Times out the callers, not the cancel itself. A member that forwarded a
+// cancel times out its own caller.
 void GiveUpCancellers(Context& context, Job& job) {
   std::erase_if(job.cancellers, [&](const Asker& it) {
     const bool due = context.now >= it.until;
@@ -359,7 +366,7 @@
   }
 }
 
-// Submissions that the store has not answered.
+// Refuses or times out submissions whose write the store has not acknowledged.
 void DriveSubmitters(Context& context) {
   const bool well = context.state.store.healthy && IsRegistered(context.state);
   const bool stop_is_due =
@@ -392,9 +399,9 @@
   }
 }
 
-// What a request is about.
+// The queue and the job that a request names.
 struct Target {
-  const QueuePolicy* queue = nullptr;  // null: there is none such
+  const QueuePolicy* queue = nullptr;  // null: no such queue
   std::string job{};
 };
 
@@ -412,7 +419,7 @@
   return {.queue = queue, .job = request.path.substr(queue->prefix.size())};
 }
 
-// A job that is named by its id alone needs none.
+// State queries and cancels that name a job by its id alone need no queue.
 bool NeedsQueue(const CallerRequest& request) {
   const bool asks = request.question == CallerQuestion::kState ||
                     request.question == CallerQuestion::kCancel;
@@ -469,7 +476,7 @@
     return;
   }
   if (!reply.known) {
-    if (!it->second.asked.empty()) {  // it was taken for the owner
+    if (!it->second.asked.empty()) {  // the sender was taken for the owner
       it->second.read_from = context.now;
       it->second.asked.clear();
     }
--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/questions.h
@@ -1,4 +1,5 @@
-// Callers' requests: submissions, states, cancels, lengths of queues.
+// Handles callers' requests: submissions, state queries, cancels and queue
+// lengths.
 #ifndef BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
 #define BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
 
@@ -12,36 +13,47 @@
 
 namespace burdockrock::engine {
 
+// Answers the request, or keeps it until the store or the job's owner replies.
 void OnCallerAsked(Context& context, const CallerAsked& asked);
+
+// Answers another member's state query or cancel of a job owned here.
 void OnJobQuery(Context& context,
                 const std::string& from,
                 const JobQuery& query);
+
+// Passes a member's reply on to the pending caller.
 void OnJobReply(Context& context, const JobReply& reply);
 
-// The store has told of the job: those who wait for it can go on.
+// The job's record was read from the store: continues the queries that wait for
+// it.
 void OnRecordKnown(Context& context, const std::string& job);
 
-// Gives up and asks again, as due.
+// Retries pending queries and times out requests, as due.
 void DriveCallers(Context& context);
 
+// Reports the job's state to a canceller: a caller here, or the member that
+// forwarded the cancel.
 void AnswerCancel(Context& context, const Asker& canceller, JobState state);
 
-// Tells the job's state to those who wait for news of it: all, or those whose
-// patience is over.
+// Reports the job's state to the callers that wait for it: to all, or to those
+// whose timeout is over.
 void AnswerWatchers(Context& context, Job& job, bool all);
 
-// The job is another instance's now: whoever waits for its cancel asks there.
+// The job has another owner now: queries that owner for the callers that wait
+// for its cancel, and lets members that forwarded a cancel do the same.
 void RouteCancellers(Context& context,
                      const std::string& job,
                      const std::vector<Asker>& cancellers);
 
-// This instance owns its jobs no longer: who waits for a cancel asks whoever
-// adopts the job, and who waits for news of one is told what is known.
+// This instance has released its jobs: pending cancels are sent to the instance
+// that adopts the job, and pending state queries are answered with the known
+// state.
 void HandOverAskers(Context& context);
 
-// Callers' requests, and members' for callers of theirs, without an answer.
+// Numbers of unanswered requests, of callers here and of other members on
+// behalf of their callers.
 struct OpenRequests {
-  std::size_t questions = 0;  // whose job is another member's, or not known
+  std::size_t questions = 0;  // for jobs of other or unknown owners
   std::size_t submissions = 0;
   std::size_t cancels = 0;
   std::size_t states = 0;
@@ -51,7 +63,7 @@
 
 OpenRequests CountOpenRequests(const State& state);
 
-// Jobs of the queue that were accepted here and have not begun.
+// Number of the queue's jobs that were accepted here and have not started.
 std::uint32_t CountWaiting(const State& state, const std::string& queue);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -19,20 +19,22 @@
 
 namespace {
 
-// A worker whose entry lapsed in an outage of the store is listed again within
-// about two seconds. Until then a process that has just started can't know of
-// it, nor of what runs there.
+// Time from the registration until the list of workers counts as settled. A
+// worker whose entry lapsed in an outage of the store is listed again within
+// about 2 s; until then an instance that has just started knows neither the
+// worker nor what runs there.
 constexpr Duration kListSettled = milliseconds(2300);
 
-// All members are asked this often, should the owner that is known of a worker
-// be a former one.
+// Interval between queries to all members, in case the known owner of a worker
+// is a former one.
 constexpr Duration kAskAll = milliseconds(1000);
 
-// Repeats the list of unlisted workers that recovery waits for, as a message
-// may get lost. Those that a member is to claim go with each question to all.
+// Interval at which a member is sent all unlisted workers that recovery waits
+// for, as a message may get lost. Those that the member is to claim go with
+// each query to all members.
 constexpr Duration kTellAgain = milliseconds(5000);
 
-// Everything that can run the job was heard of.
+// All members and workers that may run the job's tasks are accounted for.
 void FinishRecovery(Context& context, Job& job) {
   job.recovering = false;
   NoteRecovered(context, job);
@@ -46,8 +48,8 @@
   CompleteIfDone(context, job);
 }
 
-// Reports count from the last registration on: before it this instance may have
-// missed workers that came and left.
+// The reports since the last registration; earlier ones don't count, as this
+// instance may have missed workers that were listed and removed in between.
 UnseenWorkers& UnseenNow(Context& context) {
   UnseenWorkers& unseen = context.state.unseen;
   const Time registered_at = context.state.members.registered_at;
@@ -57,16 +59,16 @@
   return unseen;
 }
 
-// Workers that this instance never saw may run tasks.
+// Whether workers that this instance never saw in the list may run tasks.
 bool MayMissWorkers(Context& context) {
   return !UnseenNow(context).all_told &&
          !HasPassed(context.now, context.state.members.registered_at,
                     kUnlistedKept);
 }
 
-// No worker is missed that may run an adopted job's tasks. The list alone is
-// not enough: workers of a domain that is cut off lapse from it and run on, so
-// that members that have followed the list are asked.
+// Whether all workers that may run an adopted job's tasks are known. The list
+// alone is not enough: workers of a failure domain that is cut off lapse from
+// it and keep running, so members that have followed the list are queried.
 bool KnowsWorkers(Context& context) {
   if (!ListsAreRead(context.state)) {
     return false;
@@ -82,22 +84,24 @@
          });
 }
 
+// Whether reports of members or on workers are missing.
 bool HasToAsk(const Job& job) {
   return !job.uncovered.empty() || !job.unheard.empty();
 }
 
-// One round of questions for all jobs that are recovering.
+// One round of queries for all recovering jobs.
 struct Round {
-  bool all = false;       // every member is asked
-  bool unseen = false;    // workers are asked for that were never seen
-  WorkerSet uncovered{};  // by any of the jobs asked about
+  bool all = false;       // queries every member
+  bool unseen = false;    // asks for workers that were never seen
+  WorkerSet uncovered{};  // of any job in the round
   std::map<std::string, AdoptQuery> queries{};
-  // Who can speak for a worker, as far as it was looked up.
+  // Results of ClaimedOwner, by worker number.
   std::map<std::uint32_t, std::string> speakers{};
 };
 
-// The owner that has claimed the worker; empty: none yet. A member that has not
-// claimed it is not asked: it knows nothing of it, and announces its claim.
+// The owner that has claimed the worker; empty if none has yet. A member that
+// has not claimed it is not queried: it knows nothing of the worker's runs, and
+// announces its claim.
 const std::string& SpeakerFor(const Context& context,
                               std::uint32_t worker,
                               Round& round) {
@@ -146,7 +150,8 @@
 void AskAbout(Context& context, Job& job, Round& round) {
   if (job.version == job.stored_version &&
       HasPassed(context.now, job.confirmed_at, kOwnershipDoubt)) {
-    // Nobody answers a former owner's questions.
+    // Queries of a former owner stay unanswered: the write of the record shows
+    // whether the job has another owner by now.
     job.confirmed_at = context.now;
     MarkChanged(context, job, true);
   }
@@ -165,11 +170,12 @@
   }
 }
 
-// Workers that left the store's list and that their present owner may never
-// have seen there. It would not claim them, and recovery would wait for them.
+// A worker that left the store's list and that its present owner may never have
+// seen there. Unless it is sent to that owner, the owner does not claim it and
+// recovery waits for it.
 struct Forgettable {
   RememberedWorker worker{};
-  std::string owner{};  // that is to claim it
+  std::string owner{};  // the member that is to claim it
 };
 
 std::vector<Forgettable> Remembered(const Context& context,
@@ -205,6 +211,8 @@
   }
 }
 
+// Whether the sender's claim on the worker is the newest known, and the sender
+// is the worker's owner or has declared it lost.
 bool SpeaksFor(const Context& context,
                const std::string& from,
                const CoveredWorker& covered) {
@@ -227,7 +235,7 @@
       job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
     }
   }
-  // Each may own workers that this instance has never seen in the list.
+  // Each member may own workers that this instance has never seen in the list.
   for (const std::string& it : OtherMembers(context)) {
     job.unheard.insert(it);
   }
@@ -236,7 +244,7 @@
 
 void DriveRecovery(Context& context) {
   RecoveryState& recovery = context.state.recovery;
-  std::optional<bool> knows_workers;  // looked up once, if any job needs it
+  std::optional<bool> knows_workers;  // computed once, if a job needs it
   const bool ask = HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
   Round round{.all = HasPassed(context.now, recovery.asked_all_at, kAskAll),
               .unseen = MayMissWorkers(context)};
@@ -277,9 +285,9 @@
 void OnAdoptReport(Context& context,
                    const std::string& from,
                    const AdoptReport& report) {
-  // First: a report of them does not make its sender cover them.
+  // Processed before the covered workers: reporting a worker doesn't cover it.
   OnWorkersRemembered(context, report.remembered);
-  // Each question since the registration asked for them, if need was.
+  // Each query since the registration has asked for them, if needed.
   UnseenWorkers& unseen = UnseenNow(context);
   unseen.told_by.insert(from);
   unseen.all_told = unseen.all_told || report.all_remembered;
--- a/Source/engine/jobs/recovery.h
+++ b/Source/engine/jobs/recovery.h
@@ -1,4 +1,5 @@
-// Learns what of adopted jobs runs before anything of them is started.
+// Finds out what runs of adopted jobs exist before any of their tasks is
+// started.
 #ifndef BURDOCKROCK_ENGINE_JOBS_RECOVERY_H_
 #define BURDOCKROCK_ENGINE_JOBS_RECOVERY_H_
 
@@ -8,20 +9,23 @@
 
 namespace burdockrock::engine {
 
-// The job was adopted just now: all members and workers are to be heard.
+// Begins the recovery of a job that was just adopted: it waits for reports from
+// all members and on all workers.
 void BeginRecovery(Context& context, Job& job);
 
-// Asks whoever has more to tell; ends recoveries.
+// Queries the members whose reports are missing, and ends the recoveries that
+// are complete.
 void DriveRecovery(Context& context);
 
+// Takes in a member's reports of runs, ends and covered workers.
 void OnAdoptReport(Context& context,
                    const std::string& from,
                    const AdoptReport& report);
 
-// A worker was listed that an adopted job's runs may be on.
+// A worker was listed or reported that may run tasks of recovering jobs.
 void OnWorkerFound(Context& context, const std::string& worker);
 
-// Nothing runs there any more.
+// Nothing runs at the worker any more: recovery doesn't wait for it.
 void OnWorkerEnded(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -15,11 +15,12 @@
 
 namespace {
 
-// Between two reads of one job's record because of questions about it: the
-// store is asked once for each two of them.
+// Minimum time between two reads of a job's record that are caused by queries
+// about its runs: one read for every two queries.
 constexpr Duration kReviewAgain = milliseconds(1000);
 
-// A later offer of the run, should it have been overtaken, is refused.
+// Reports that the run is not here, and refuses an offer of it that the query
+// may have overtaken.
 void SayAbsent(Context& context, const std::string& to, const RunQuery& query) {
   if (const auto name = ParseTaskName(query.task)) {
     std::uint64_t& refused = context.state.known[name->job].refused[query.task];
@@ -32,9 +33,10 @@
                             .state = RunState::kAbsent}}});
 }
 
-// A former owner of the job that does not know yet that it is one must not hear
-// that a run is not here: the present owner has stored its end, and the former
-// one would start the task again on a worker that it still holds.
+// Whether the job is known to belong to another member. A former owner that
+// doesn't know yet that it has lost the job must not get the reply that a run
+// is not here: the present owner has stored the run's end, and the former one
+// would start the task again on a worker that it still owns.
 bool HasOtherOwner(const State& state,
                    const std::string& asker,
                    const std::string& task) {
@@ -44,9 +46,10 @@
          known->second.owner != asker;
 }
 
-// The asker may be the present owner, whose first question and offer were both
-// lost. Answering none of its further ones would leave the task offered for
-// ever. The record names the job's owner, and the question comes again.
+// Reads the job's record. The sender may be the present owner whose first query
+// and offer were both lost; if its later queries went unanswered, the task
+// would stay offered forever. The record names the job's owner, and the query
+// is repeated.
 void ReviewOwner(Context& context, const std::string& task) {
   const auto name = ParseTaskName(task);
   if (!name) {
@@ -59,10 +62,11 @@
   }
 }
 
-// What runs at a worker that can't be reached, its owner knows: it accepts
-// nothing from others with a lower fence. Another owner with a higher one would
-// have registered before `asked` and be known by now, as all changes of the
-// members up to then are. So no adopted job has to wait for the worker's lease.
+// The owner of an unresponsive worker knows what runs there, as the worker
+// accepts nothing with a lower fence. Another owner with a higher fence would
+// have registered before `queried_at` and be known by now, as all changes to
+// the list of members up to then are. So adopted jobs don't wait for the end of
+// the worker's lease.
 bool IsKnownThoughSilent(const Context& context,
                          const OwnedWorker& worker,
                          Time asked) {
@@ -102,7 +106,7 @@
                                      .checkpoint = it->second.checkpoint}}});
   }
   if (RepeatEndsOf(*worker, query.task)) {
-    return;  // the end itself says more
+    return;  // the run's end serves as the reply
   }
   worker->proof_wanted = true;
   worker->questions.push_back(
@@ -163,7 +167,7 @@
     if (!worker.claimed) {
       continue;
     }
-    // Only a worker that is surely owned since the question first came.
+    // Only workers whose ownership was proven after the query first arrived.
     if (worker.proven >= asked || IsKnownThoughSilent(context, worker, asked)) {
       report.covered.push_back({.worker = id, .fence = worker.fence});
     } else {
--- a/Source/engine/jobs/run_questions.h
+++ b/Source/engine/jobs/run_questions.h
@@ -1,4 +1,4 @@
-// Questions of the owners of jobs about runs on own workers.
+// Answers queries of job owners about runs at this instance's workers.
 #ifndef BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
 #define BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
 
@@ -8,18 +8,24 @@
 
 namespace burdockrock::engine {
 
+// Adds the unlisted workers that the sender reports, and handles each query as
+// ReportRun does.
 void OnRunQueries(Context& context,
                   const std::string& from,
                   const RunQueries& queries);
+
+// Reports all runs and ends of the adopted jobs at this instance's workers, and
+// the workers that the report covers.
 void OnAdoptQuery(Context& context,
                   const std::string& from,
                   const AdoptQuery& query);
 
-// Tells a job's owner what has become of a run, at once or as soon as it is
-// certain; nothing when this instance can't know.
+// Reports the state of a run to the job's owner, at once or as soon as it is
+// certain; sends nothing if this instance can't know it.
 void ReportRun(Context& context, const std::string& to, const RunQuery& query);
 
-// The worker is surely owned now: questions that came before are answered.
+// The ownership of the worker was proven: answers the queries that arrived
+// before the proof.
 void AnswerQuestions(Context& context,
                      const std::string& id,
                      OwnedWorker& worker);
