--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -1,5 +1,5 @@
-// What still runs of a job that has ended is stopped, whoever started it and
-// whatever became of its owners.
+// Runs of a job that has ended are stopped, whichever instance started them and
+// whatever happened to the owners of the job and of its workers.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -13,7 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A task has to be gone this long after its job's cancel was acknowledged.
+// All runs of a job must have ended this long after its cancel was
+// acknowledged.
 constexpr Duration kCancelBound = milliseconds(3400);
 
 bool IsGone(const Fleet& fleet, const std::string& job) {
@@ -23,7 +24,7 @@
       });
 }
 
-// The instance that holds the worker.
+// The instance that owns the worker; empty if none does.
 std::string OwnerAt(const Fleet& fleet, const std::string& worker) {
   for (const std::string& it : fleet.nodes()) {
     if (fleet.IsUp(it) && fleet.state(it).owned.contains(worker + "-1")) {
@@ -33,7 +34,7 @@
   return {};
 }
 
-// Until some instance has adopted the job; its name.
+// Runs the fleet until an instance has adopted the job, and returns its name.
 std::string AwaitAdoption(Fleet& fleet, const std::string& job) {
   std::string adopter;
   REQUIRE(fleet.RunUntil(
@@ -56,7 +57,7 @@
   };
 }
 
-// An order as the worker's owner would give it.
+// Starts the task with a command like one of the worker's owner.
 void StartAt(Fleet& fleet, const std::string& worker, const std::string& task) {
   const std::string owner = OwnerAt(fleet, worker);
   REQUIRE_FALSE(owner.empty());
@@ -69,7 +70,7 @@
                                        .lease_until_ms = held.lease_until_ms});
 }
 
-// A job of n0 whose 36 tasks run on until they are stopped.
+// Starts a job at n0 whose 36 tasks run until they are stopped.
 void BeginEndless(Fleet& fleet) {
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -77,11 +78,11 @@
   fleet.Run(seconds(1));
 }
 
-// The job's owner stored the cancel, answered it and died; what it told the
-// workers' owners was lost. A job that has ended is adopted by nobody, and the
-// workers' owners took its runs for wanted: "job_ended state=cancelled" stood
-// in one log, and no "run_ended" followed in any other.
-TEST_CASE("Runs of a cancelled job are stopped though its owner died") {
+// Guards against workers' owners that keep the runs of an ended job. The job's
+// owner stores the cancel, answers it and dies; its stop commands are lost, and
+// no member adopts a job that has ended. One log had "job_ended
+// state=cancelled", but no other had a "run_ended".
+TEST_CASE("Runs of a cancelled job are stopped after its owner died") {
   Fleet fleet;
   BeginEndless(fleet);
   REQUIRE(CountRuns(fleet, "j1") == 36);
@@ -95,10 +96,10 @@
   CHECK(CountRuns(fleet, "j1") == 36);
 }
 
-// The job's owner lives and reaches the store, but no message of its gets to
-// the worker's owner: the stops were repeated every 500 ms and all lost, and
-// the worker's owner renewed the leases for ever.
-TEST_CASE("Runs of a cancelled job are stopped though its owner is cut off") {
+// Guards against leases that are renewed forever for a cancelled job. Its owner
+// reaches the store, but all of its messages to the worker's owner are lost,
+// including the stop commands that it repeats every 500 ms.
+TEST_CASE("Runs of a cancelled job are stopped while its owner is cut off") {
   Fleet fleet;
   BeginEndless(fleet);
   fleet.is_cut = [](const std::string& from, const std::string& to) {
@@ -109,12 +110,12 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// A job was adopted and waited 18 s to hear of a worker that had died. Its
-// cancel was acknowledged meanwhile, and one order to stop got lost. The
-// answers to the adopter's questions, one each 120 ms, counted as word of the
-// run, so that the order was never due again: the run ended 17 s after the
-// cancel.
-TEST_CASE("A stop that got lost while the job is adopted is repeated") {
+// Guards against a lost stop command that is not repeated. An adopted job waits
+// up to 18 s for a worker that has died; meanwhile its cancel is acknowledged
+// and one stop command is lost. The replies to the adopter's queries, one every
+// 120 ms, counted as updates of the run, so the command never became due again
+// and the run ended 17 s after the cancel.
+TEST_CASE("A stop that is lost during the adoption of a job is repeated") {
   Fleet fleet;
   BeginEndless(fleet);
   LoseWorkerOrders(fleet, "w0");
@@ -136,10 +137,10 @@
   }
 }
 
-// A task had two runs, the second a copy of one that stood still. The job was
-// adopted: its new owner heard of both and kept the one with the higher number.
-// The cancel stopped that one alone.
-TEST_CASE("Both runs of a task are stopped when its job was adopted") {
+// Guards against a cancel that stops only one of two runs. A task has a stalled
+// run and a copy of it when its job is adopted; the new owner got reports of
+// both and kept only the run with the higher number.
+TEST_CASE("Both runs of a task are stopped after its job was adopted") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
@@ -152,7 +153,7 @@
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") > 4; }, seconds(8)));
   fleet.Run(milliseconds(200));
-  // Of this one the adopter hears for long that it can't be reached.
+  // The adopter waits long for this worker, as it can't be reached.
   LoseWorkerOrders(fleet, "w5");
   fleet.Kill("n0");
   const std::string adopter = AwaitAdoption(fleet, "j1");
@@ -168,10 +169,10 @@
   }
 }
 
-// An order to start got no answer and was carried out 3 s later. Its repetition
-// was refused by the worker as unhealthy, and that counted for both: the task
-// was started elsewhere, and then ran twice.
-TEST_CASE("A refused start is withdrawn if an earlier try got no answer") {
+// Guards against a task that runs twice. A start command gets no answer and
+// takes effect 3 s later; the worker refuses its repetition as unhealthy. That
+// counted as a refusal of both, so the task was started elsewhere too.
+TEST_CASE("A refused start is withdrawn if an earlier attempt got no answer") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -199,9 +200,9 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// An order to start got no answer, the job was cancelled, and the worker
-// carried the order out 3 s later.
-TEST_CASE("A task that its worker starts after the cancel does not run on") {
+// Guards against a start command without an answer that takes effect 3 s later,
+// after the job was cancelled.
+TEST_CASE("A run that its worker starts after the cancel is stopped") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -219,9 +220,10 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// The order to stop overtook the offer of the run. The worker's owner had no
-// such run when the stop came, and took the offer a moment later.
-TEST_CASE("A stop that overtakes the offer of its run is not forgotten") {
+// Guards against a run that is started after its stop. The stop command
+// overtakes the offer: the worker's owner has no such run yet, and accepts the
+// offer a moment later.
+TEST_CASE("A stop that overtakes the offer of its run prevents the start") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -243,7 +245,8 @@
   CHECK(CountRuns(fleet, "j1") == 0);
 }
 
-// A worker runs a task of a job that the store has no record of any more.
+// Guards against runs that never end because their job's record was removed
+// from the store.
 TEST_CASE("A run whose job has no record is stopped") {
   Fleet fleet;
   fleet.Settle();
@@ -253,9 +256,10 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// A second run of a job that was known to have ended showed up while the store
-// was away. It was read about again instead of being stopped.
-TEST_CASE("A run of a job that is known to have ended needs no store to stop") {
+// Guards against a run of an ended job that goes on while the store can't be
+// reached. The job was known to have ended, but its record was read again
+// before the run was stopped.
+TEST_CASE("Runs of a job that is known to have ended stop without the store") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -271,8 +275,8 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// While the store can't be read nobody knows whether the job has ended: what
-// is found of it must not be stopped.
+// Guards against stopping wanted runs. While the store can't be read, no
+// instance knows whether the job has ended.
 TEST_CASE("A run is not stopped before the state of its job is known") {
   Fleet fleet;
   BeginEndless(fleet);
@@ -285,8 +289,8 @@
   CHECK(CountRuns(fleet, "j1") == 36);
 }
 
-// The worker's owner died with the order to stop.
-TEST_CASE("Runs are stopped when their worker's owner dies with the cancel") {
+// Guards against a stop command that is lost when the worker's owner dies.
+TEST_CASE("Runs are stopped if their worker's owner dies at the cancel") {
   Fleet fleet;
   BeginEndless(fleet);
   fleet.Kill("n1");
@@ -296,8 +300,8 @@
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 36);
 }
 
-// An instance that handles what it is told 900 ms late still gets each stop to
-// its workers in time.
+// Guards against stops that take effect late because an instance handles its
+// messages 900 ms late.
 TEST_CASE("A slowed instance stops the runs of a cancelled job in time") {
   Fleet fleet;
   BeginEndless(fleet);
@@ -310,9 +314,9 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// An instance with an eighth of a core needs 15 ms for an event that takes 2 ms
-// of processor time, and 20 jobs a second come. The stops wait behind what came
-// before them: they took effect 1.8 s after the cancel was acknowledged.
+// Guards against stop commands that queue behind other events. With an eighth
+// of a core an event of 2 ms of processor time takes 15 ms, and 20 jobs a
+// second arrive: the stops took effect 1.8 s after the cancel was acknowledged.
 TEST_CASE("A busy instance stops the runs of a cancelled job in time") {
   Fleet fleet;
   fleet.Settle();
@@ -342,10 +346,11 @@
   CHECK(IsGone(fleet, "j1"));
 }
 
-// A job was cancelled before the store had it. The store refused its write, so
-// that the submission was taken back; whoever waited for the cancel, or had
-// asked for the state, got no answer at all.
-TEST_CASE("A cancel of a submission that is taken back is answered") {
+// Guards against pending callers that never get an answer. A job is cancelled
+// before it is stored, and the store refuses its write, so the submission is
+// withdrawn; callers that waited for the cancel or for the state were
+// forgotten.
+TEST_CASE("A cancel of a submission that is withdrawn is answered") {
   Fleet fleet;
   fleet.Settle();
   fleet.store_fault = [](const std::string&, const StoreRequest& request) {
@@ -362,10 +367,11 @@
   CHECK(std::holds_alternative<NoSuchJob>(fleet.answers[cancel]));
 }
 
-// An instance died with a question out and came back at the same address. The
-// answer came then, and its number was that of the first question of the new
-// life: the cancel of another job was acknowledged though nobody had taken it.
-TEST_CASE("An answer to a former life does not acknowledge a cancel") {
+// Guards against a cancel that is acknowledged though no instance accepted it.
+// An instance restarts at the same address with a query pending; the late reply
+// had the number of the first query of the new process, which was the cancel of
+// another job.
+TEST_CASE("A reply to a former incarnation does not acknowledge a cancel") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -386,9 +392,9 @@
   CHECK_FALSE(IsGone(fleet, "j1"));
 }
 
-// A cancel of a job with many tasks told each of them by itself: 24 messages
-// at once for one instance with two workers, each repeated after 500 ms.
-TEST_CASE("The stops of a cancelled job go out together and at once") {
+// Guards against one message for each stopped task: 24 messages at once to one
+// instance with two workers, each repeated after 500 ms.
+TEST_CASE("The stops of a cancelled job are sent together and at once") {
   Fleet fleet;
   BeginEndless(fleet);
   REQUIRE(CountRuns(fleet, "j1") == 36);
@@ -397,7 +403,7 @@
     messages += from == "n0" ? 1 : 0;
     return false;
   };
-  // The store's answer takes 4 ms: the stops don't wait for it.
+  // The store's answer takes 4 ms; the stops must not wait for it.
   fleet.Cancel("n0", "j1");
   fleet.Run(milliseconds(3));
   CHECK(messages >= 2);
@@ -406,7 +412,8 @@
 
 }  // namespace
 
-// Guards against callers that wait for the store as long as it is away.
+// Guards against callers that get no answer for as long as the store is
+// unresponsive.
 TEST_CASE("A cancel at the job's owner is answered in time without the store") {
   Fleet fleet;
   BeginEndless(fleet);
--- a/Tests/engine/cut_domain_test.cc
+++ b/Tests/engine/cut_domain_test.cc
@@ -1,4 +1,5 @@
-// New work while a failure domain is cut off from the others and the store.
+// New jobs while a failure domain is cut off from the others and from the
+// store.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -17,7 +18,7 @@
   return worker == "w0" || worker == "w3";
 }
 
-// n0, w0 and w3 are one domain.
+// Cuts off domain a: n0, w0 and w3.
 void CutDomainA(Fleet& fleet) {
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
     return node == "n0" ? StoreFault::kSilent : StoreFault::kNone;
@@ -41,10 +42,10 @@
                          const WorkerRequest&) { return OrderFault::kNone; };
 }
 
-// Guards against tasks that are offered to the owner of a worker for as long as
-// its registration lasts after it can't be reached: such a task waits for the
-// end of the cut, since it may run there.
-TEST_CASE("New jobs pass over the workers of owners that have gone silent") {
+// Guards against tasks that are offered to an unreachable owner of a worker
+// until its registration ends: such a task waits for the end of the cut, since
+// it may run there.
+TEST_CASE("New jobs avoid the workers of unresponsive owners") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(500)});
@@ -52,7 +53,7 @@
   fleet.Run(seconds(2));
   CutDomainA(fleet);
   fleet.Run(milliseconds(100));
-  fleet.Submit("n1", "notice", OneStep(30));  // finds out
+  fleet.Submit("n1", "notice", OneStep(30));  // detects the cut
   fleet.Run(milliseconds(900));
   for (int it = 0; it < 4; ++it) {
     const std::string job = fmt::format("cut{}", it);
@@ -73,8 +74,8 @@
   CheckPromises(fleet);
 }
 
-// Guards against short jobs that end with a cut of a domain that they need not
-// have used.
+// Guards against short jobs that are delayed by the cut of a domain that they
+// did not need to use.
 TEST_CASE("Tight jobs stay in their owner's domain while it has room") {
   Fleet fleet({.instances = 6, .workers = 12});
   fleet.SetQueue({.name = "q",
@@ -94,21 +95,21 @@
   }
 }
 
-// Guards against callers who are sent to an instance that refuses all jobs
-// while others would take them.
+// Guards against callers that the balancer sends to an instance that refuses
+// all jobs while others would accept them.
 TEST_CASE("An instance that can't reach the store is not ready") {
   Fleet fleet;
   fleet.Settle();
   REQUIRE(IsReady(fleet.state("n0")));
   CutDomainA(fleet);
-  fleet.Run(milliseconds(2000));  // a watch that is under way is answered
+  fleet.Run(milliseconds(2000));  // a watch in flight is still answered
   CHECK_FALSE(IsReady(fleet.state("n0")));
   CHECK(IsReady(fleet.state("n1")));
   Heal(fleet);
   CHECK(fleet.RunUntil([&] { return IsReady(fleet.state("n0")); }, seconds(2)));
 }
 
-// Guards against instances that leave the balancer by turns because single
+// Guards against instances that the balancer removes in turn because single
 // answers of the store are lost.
 TEST_CASE("An instance that loses some of the store's answers stays ready") {
   Fleet fleet;
--- a/Tests/engine/failure_test.cc
+++ b/Tests/engine/failure_test.cc
@@ -1,4 +1,4 @@
-// Jobs of steps under failures of instances, of the store and of workers.
+// Jobs with steps during failures of instances, of the store and of workers.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -16,13 +16,13 @@
   return std::holds_alternative<StoreTransaction>(request);
 }
 
-// Symptom: tasks ran again seconds after their ends were acknowledged.
-// Sequence: the store turns an instance away, its registration lapses and its
-// jobs are adopted; another instance restarts meanwhile; the first comes back
-// and offers the tasks, of which the restarted one knows no newer owner.
-// Cause: an instance took itself for the owner of jobs after its registration
-// was lost.
-TEST_CASE("An instance that was turned away does not go on with lost jobs") {
+// Guards against tasks that run again seconds after their ends were
+// acknowledged. The store refuses an instance, whose registration lapses and
+// whose jobs are adopted; another instance restarts meanwhile. When the first
+// one reaches the store again it offers the tasks, and the restarted one knows
+// no newer owner: an instance counted itself as the owner of its jobs after its
+// registration was lost.
+TEST_CASE("An instance that the store refused does not continue lost jobs") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(4)});
@@ -45,11 +45,10 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a task that had ended done ran a second time.
-// Sequence: the answer to a start is lost; the run ends; the order is repeated
-// and refused as old; the job's owner is told that it did not start.
-// Cause: that refusal was taken for a start that never was.
-TEST_CASE("A start whose answer was lost is not started again elsewhere") {
+// Guards against a finished task that runs a second time. The answer to a start
+// command is lost, the run ends, and the worker refuses the repeated command as
+// old; the refusal was reported to the job's owner as a run that never started.
+TEST_CASE("A task whose start got no answer is not started again elsewhere") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(50)});
@@ -64,11 +63,11 @@
   CHECK(CountRuns(fleet, "j1") == 4);
 }
 
-// Symptom: a job was shown as failed though no task had failed so often.
-// Sequence: a task fails; its owner stores that and dies before the worker is
-// told; the job's new owner reads the count and hears of the same end again.
-// Cause: the record did not say which runs its counts hold.
-TEST_CASE("A failed run counts once, also for a new owner of the job") {
+// Guards against a job that fails although no task reached the limit of
+// failures. The job's owner stores a failure and dies before the worker gets
+// the acknowledgement; the new owner reads the count and receives the same end
+// again. The record did not name the runs that it had counted.
+TEST_CASE("A failed run counts once, even for a new owner of the job") {
   Fleet fleet;
   fleet.Settle();
   for (const std::string& it : fleet.worker_names()) {
@@ -78,8 +77,8 @@
     };
   }
   fleet.Submit("n0", "j1", OneStep(3));
-  // Two failures of each task are stored at once, the ends wait for their
-  // acknowledgement.
+  // Two failures of each task are stored at once; their ends are not
+  // acknowledged yet.
   REQUIRE(fleet.RunUntil(
       [&] {
         return fleet.store.ValueOf("job/j1").find("222") != std::string::npos;
@@ -91,11 +90,11 @@
   CheckPromises(fleet);
 }
 
-// Symptom: tasks of a cancelled job ran on for ever.
-// Sequence: all instances lose power; they come back and adopt the job; it is
-// cancelled before its new owner has heard what runs.
-// Cause: the job counted as settled, and nobody stopped what was found later.
-TEST_CASE("A job that is cancelled while it is adopted is stopped") {
+// Guards against runs of a cancelled job that never end. All instances lose
+// power, restart and adopt the job, which is cancelled before its new owner
+// knows its runs; the job then counted as settled, and runs that were reported
+// later were not stopped.
+TEST_CASE("A job that is cancelled during its adoption is stopped") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -124,11 +123,10 @@
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 6);
 }
 
-// Symptom: a run of a cancelled job went on, its lease renewed.
-// Sequence: a job is cancelled and stored as such; all instances lose power
-// before the stop orders are out; the job is adopted by nobody, as it has
-// ended.
-// Cause: the new owner of the worker renewed whatever it found there.
+// Guards against a run of a cancelled job whose lease is still renewed. The
+// cancel is stored, and all instances lose power before the stop commands are
+// sent; no member adopts the job, as it has ended, and the worker's new owner
+// renewed every run that it found there.
 TEST_CASE("Runs of a job that has ended in the store are stopped") {
   Fleet fleet;
   fleet.Settle();
@@ -153,12 +151,12 @@
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 3);
 }
 
-// Symptom: urgent jobs were late by a second and more though they had run in
-// time; questions about jobs that nobody knows got no answer.
-// Sequence: a caller asks at an instance that does not own the job; the record
-// is asked for again while the first read is under way, and so for ever.
-// Cause: an answer counted as old as soon as another read was wanted.
-TEST_CASE("A question about any job is answered anywhere within one read") {
+// Guards against queries about unknown jobs that get no reply, and urgent jobs
+// that are reported late by a second and more though they ran in time. A caller
+// queries an instance that does not own the job, and the record is requested
+// again while the first read is in flight, and so on: a read counted as
+// outdated as soon as another one was requested.
+TEST_CASE("Any instance answers a query about any job within one read") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(5)});
@@ -174,10 +172,10 @@
   CHECK(std::holds_alternative<NoSuchJob>(fleet.answers[unknown]));
 }
 
-// Symptom: callers got no answer about their jobs at one instance for 9 s.
-// Sequence: the store turns the instance away; the job belongs to another one.
-// Cause: only the store was asked whose the job is.
-TEST_CASE("An instance that the store turns away asks the other members") {
+// Guards against callers that get no reply at one instance for 9 s. The store
+// refuses the instance, and the job belongs to another one: the owner was
+// looked up only in the store.
+TEST_CASE("An instance that the store refuses queries the other members") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(9)});
@@ -193,11 +191,10 @@
         CallerAnswer(JobShown{.state = JobState::kRunning}));
 }
 
-// Symptom: callers were told "running" 2 ms before the end was known, and the
-// next time they asked was 250 ms later.
-// Sequence: the last run ends; the caller asks; the end is on its way.
-// Cause: the answer was given from what was known at that moment.
-TEST_CASE("A question that comes with the end is answered with the end") {
+// Guards against the reply "running" 2 ms before the job's end is known, as the
+// caller's next query comes 250 ms later. The query arrives after the last run
+// has ended and before the end is reported, and was answered at once.
+TEST_CASE("A query that arrives while the job ends is answered with the end") {
   Fleet fleet;
   fleet.Settle();
   fleet.Submit("n0", "j1", OneStep(1));
@@ -213,12 +210,12 @@
         CallerAnswer(JobShown{.state = JobState::kCompleted}));
 }
 
-// Symptom: instances held each other's workers after a common start.
-// Sequence: one instance sees no other yet and claims all workers; the others
-// claim theirs; the first, its claims refused, raises its fence and takes them
-// back.
-// Cause: a claim went on though its worker was another's by then.
-TEST_CASE("After a common start each worker is owned within its domain") {
+// Guards against instances that own each other's workers after starting
+// together. One instance sees no other yet and claims all workers; the others
+// claim theirs; the first one, whose claims are refused, advances its fence and
+// takes them back: a claim was continued although its worker belonged to
+// another instance by then.
+TEST_CASE("After instances start together each worker is owned in its domain") {
   Fleet fleet;
   fleet.Settle();
   for (const std::string& node : fleet.nodes()) {
@@ -231,9 +228,9 @@
   }
 }
 
-// Symptom: running tasks lapse when the owner of their worker dies.
-// Sequence: an instance is killed; its registration lapses after 2.5 s; another
-// claims its workers before their leases of 6 s are over.
+// Guards against runs that lapse when the owner of their worker dies. An
+// instance is killed and its registration lapses after 2.5 s; another one has
+// to claim its workers before their leases of 6 s end.
 TEST_CASE("Runs outlive the owner of their worker and the owner of their job") {
   Fleet fleet;
   fleet.Settle();
@@ -248,13 +245,12 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a task ran again on a worker of an instance that had lost its job.
-// Sequence: the store is silent to an instance; its job is adopted, a run's end
-// is stored and acknowledged; the former owner asks the worker's owner for the
-// run, hears that it is not there, and starts the task on a worker of its own,
-// which nobody has claimed yet.
-// Cause: a question of a former owner was answered.
-TEST_CASE("A former owner of a job is not told that a run is gone") {
+// Guards against a task that runs again on a worker of its job's former owner.
+// The store is unresponsive to an instance; its job is adopted, and a run's end
+// is stored and acknowledged. The former owner queries the worker's owner for
+// the run, gets the reply that it is absent, and starts the task on a worker of
+// its own that no other instance has claimed yet.
+TEST_CASE("A former owner of a job gets no report that a run is absent") {
   Fleet fleet;
   fleet.Settle();
   fleet.Submit("n0", "j1", Chain(2, 12));
@@ -270,7 +266,7 @@
   CHECK(fleet.CountReports() == queries);
 }
 
-TEST_CASE("All instances lose power: nothing is lost and nothing doubled") {
+TEST_CASE("No job is lost or run twice when all instances lose power") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(3)});
@@ -298,9 +294,9 @@
   CheckPromises(fleet);
 }
 
-// Symptom: an outage of the store kills running work, or lets jobs be accepted
-// that are lost.
-TEST_CASE("While the store is down accepted work goes on and no new is taken") {
+// Guards against a store outage that ends running work, or during which jobs
+// are accepted and lost.
+TEST_CASE("While the store is down accepted jobs run, new ones are refused") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(2)});
@@ -326,8 +322,8 @@
   CheckPromises(fleet);
 }
 
-// Symptom: work moves between instances, and runs lapse, after an outage in
-// which all registrations ran out.
+// Guards against jobs that change owners and runs that lapse after a store
+// outage in which all registrations expired.
 TEST_CASE("Registrations that lapse in an outage move no work") {
   Fleet fleet;
   fleet.Settle();
@@ -348,8 +344,8 @@
   CHECK(fleet.state("n0").jobs.at("j1").generation == 1);
 }
 
-// Symptom: a caller is told that its job was refused, and it runs all the same.
-// Sequence: the write takes effect and its answer is lost.
+// Guards against a job that runs although its caller got a refusal: the write
+// takes effect, but its answer is lost.
 TEST_CASE("A write whose answer was lost is read back") {
   Fleet fleet;
   fleet.Settle();
@@ -369,8 +365,9 @@
   CHECK(CountRuns(fleet, "j1") == 2);
 }
 
-// Symptom: workers that came while the history was forgotten are never used.
-TEST_CASE("A forgotten history is made up for by reading all again") {
+// Guards against changes to the list of workers that are missed because the
+// store compacted its history, as workers that are never used.
+TEST_CASE("After the store's history is compacted the lists are read again") {
   Fleet fleet;
   fleet.Settle();
   fleet.store_fault = [](const std::string&, const StoreRequest& request) {
@@ -389,9 +386,9 @@
   }
 }
 
-// Symptom: the store refuses calls of all instances.
-// Sequence: jobs come one by one and faster than the store takes writes.
-// Cause would be: a transaction for each of them.
+// Guards against a store that refuses the calls of all instances because jobs
+// arrive one by one, faster than it accepts writes, and each takes a
+// transaction.
 TEST_CASE("A flood of submissions stays within the store's budget") {
   Fleet fleet({.store_writes = 60});
   fleet.Settle();
@@ -413,10 +410,9 @@
   }
 }
 
-// Symptom: the store fills with records of jobs that ended long ago.
-// Sequence: the owner of a job that has ended is lost.
-// Cause: only the owner removed its records.
-TEST_CASE("Records of ended jobs go also when their owner is gone") {
+// Guards against a store that fills with records of jobs that ended long ago:
+// only a job's owner removed its records, and that owner may be lost.
+TEST_CASE("Records of ended jobs are removed even if their owner is lost") {
   Fleet fleet({.state_kept = seconds(20)});
   fleet.Settle();
   fleet.Submit("n0", "j1", OneStep(2));
@@ -431,10 +427,10 @@
   CHECK(fleet.store.Keys("spec/").empty());
 }
 
-// Symptom: a task runs twice after a takeover.
-// Sequence: start orders get no answer and are carried out 3 s later; their
-// sender is killed meanwhile and the worker has a new owner.
-TEST_CASE("Late orders of a former owner start nothing") {
+// Guards against a task that runs twice after a takeover. Start commands get no
+// answer and take effect 3 s later; meanwhile their sender is killed and the
+// worker has a new owner.
+TEST_CASE("Late commands of a former owner start nothing") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(1)});
@@ -451,8 +447,9 @@
   CheckPromises(fleet);
 }
 
-// Symptom: an instance that was paused goes on as if it owned what it did.
-TEST_CASE("A frozen instance that wakes up starts nothing twice") {
+// Guards against a paused instance that continues as if it still owned its jobs
+// and workers.
+TEST_CASE("An instance that resumes after a freeze starts nothing twice") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(800)});
@@ -464,7 +461,7 @@
   CheckPromises(fleet);
 }
 
-TEST_CASE("A planned stop hands over jobs and workers, and no run ends by it") {
+TEST_CASE("A planned stop hands over jobs and workers without ending a run") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(3)});
@@ -482,8 +479,8 @@
 
 }  // namespace
 
-// Guards against states of a record that was read before its job ended.
-TEST_CASE("A job that has ended is shown so while its owner stands still") {
+// Guards against a state from a record that was read before the job ended.
+TEST_CASE("The end of a job is reported while its owner is stalled") {
   Fleet fleet;
   fleet.Settle();
   fleet.Submit("n0", "j1", OneStep(1));
--- a/Tests/engine/recovery_list_test.cc
+++ b/Tests/engine/recovery_list_test.cc
@@ -1,5 +1,5 @@
-// What an instance that has just started knows of the workers, and what it
-// starts of the jobs that it takes over.
+// What an instance that has just started knows of the workers, and which tasks
+// of adopted jobs it starts.
 #include <doctest/doctest.h>
 
 #include "engine/fleet.h"
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The instances and workers of domain b reach each other and nobody else.
+// Cuts off domain b: its instances and workers reach only each other.
 void CutOffDomain(Fleet& fleet) {
   const auto is_apart = [](const std::string& name) {
     return std::stoi(name.substr(1)) % 3 == 1;
@@ -30,13 +30,13 @@
   };
 }
 
-// An instance that starts while a failure domain is cut off finds none of its
-// workers in the list, and took a list for whole that was read 2.3 s before.
-// What ran there ran on, renewed by an owner that lives without the store for
-// 12 s, and the jobs that the instance had taken over started it once more. The
-// others had remembered those workers and told of them, but not in time to
-// count for jobs that were adopted already.
-TEST_CASE("Who starts during a cut waits for the workers that it never saw") {
+// Guards against tasks of adopted jobs that are started while they still run.
+// An instance that starts while a failure domain is cut off finds none of the
+// domain's workers in the list, and took the list for complete 2.3 s after
+// reading it. Runs there continue, renewed by an owner that keeps renewing for
+// 12 s without the store. The other members remember those workers and reported
+// them, but too late to count for jobs that were already adopted.
+TEST_CASE("An instance started during a cut waits for workers unknown to it") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(30)});
@@ -59,12 +59,13 @@
   CheckPromises(fleet);
 }
 
-// Of 30 instances 18 lost power and were back within 0.6 s. 99 jobs that they
-// took over started nothing until 2.3 s after the registration, with all
-// workers and members heard: `job_recovering` had unheard=0 and members=0. The
-// others had followed the list all day and knew each worker that could be
-// missed.
-TEST_CASE("Who starts anew trusts a member that has long followed the list") {
+// Guards against recovery that waits without need. 18 of 30 instances lost
+// power and restarted within 0.6 s. 99 jobs that they adopted started nothing
+// until 2.3 s after the registration, although the reports of all workers and
+// members had arrived: `job_recovering` had unheard=0 and members=0. The other
+// members had followed the list all day and knew every worker that could be
+// missing.
+TEST_CASE("A restarted instance relies on a member that followed the list") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
--- a/Tests/engine/recovery_messages_test.cc
+++ b/Tests/engine/recovery_messages_test.cc
@@ -1,4 +1,4 @@
-// What taking jobs over costs in messages.
+// Bounds the number of messages that the recovery of adopted jobs takes.
 #include <variant>
 
 #include <doctest/doctest.h>
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// All of 33 instances lost power at once. Each then asked all others each 120
-// ms about all the jobs that it had taken over, also those who had told all
-// that they knew, until lists had settled and dead workers were gone: a third
-// of the requests failed, and hundreds of jobs had nothing running at the end
-// of the day.
-TEST_CASE("Who takes jobs over asks only those who have more to tell") {
+// Guards against a flood of queries after 33 instances lose power at once. Each
+// one queried all others every 120 ms about all of its adopted jobs, even
+// members that had reported everything, until the lists had settled and the
+// dead workers were declared lost: a third of the requests failed, and hundreds
+// of jobs still had nothing running at the end of the day.
+TEST_CASE("An adopter queries only members whose reports are missing") {
   Fleet fleet({.instances = 9, .workers = 18});
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(4)});
@@ -44,14 +44,15 @@
   CheckPromises(fleet);
 }
 
-// A failure domain with a third of the workers was cut off, and for 6 s nothing
-// could be known of them. Each instance asked those that were to claim them,
-// which knew nothing of them yet, each 120 ms, and described all of the workers
-// each time. With 30 instances and 350 workers that were 4,500 questions a
-// second with 540,000 descriptions. In a fleet of that size ten instances lost
-// their registration after the cut had healed; from then on its logs had 126
-// times that the store can't be reached.
-TEST_CASE("Of a domain that is cut off little is asked until more is known") {
+// Guards against queries that can't be answered yet. A failure domain with a
+// third of the workers is cut off, and for 6 s nothing can be known of them.
+// Each instance queried the members that were to claim the workers, which knew
+// nothing of them yet, every 120 ms, and described all of the workers each
+// time: with 30 instances and 350 workers 4,500 queries a second with 540,000
+// descriptions. In a fleet of that size ten instances lost their registration
+// after the cut had healed, and from then on the logs reported 126 times that
+// the store can't be reached.
+TEST_CASE("Few queries are sent about workers of a domain that is cut off") {
   Fleet fleet({.instances = 9, .workers = 36});
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(3)});
@@ -88,12 +89,12 @@
     }
   }
   fleet.Run(seconds(5));
-  // Three adopters ask five others and themselves once a second, and twice at
+  // Three adopters query five others and themselves once a second, and twice at
   // the adoption.
   CHECK(queries > 0);
   CHECK(queries <= 3 * 6 * 9);
-  // Twelve workers, told to all every 5 s and to who is to claim them each
-  // second.
+  // Twelve workers, sent to all members every 5 s and every second to those
+  // that are to claim them.
   CHECK(descriptions <= 3 * 12 * (6 * 2 + 6));
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
--- a/Tests/engine/takeover_review_test.cc
+++ b/Tests/engine/takeover_review_test.cc
@@ -1,5 +1,6 @@
-// Workers that change hands while members know different things: what runs at a
-// worker must not be taken for ended, and what has ended must run again soon.
+// Workers that change owners while members have different information: runs at
+// a worker must not be taken for ended, and tasks whose runs were lost must run
+// again soon.
 #include <algorithm>
 #include <optional>
 #include <set>
@@ -30,7 +31,7 @@
       }));
 }
 
-// Who owns w0 when n0, the only member of its domain, is gone.
+// The owner of w0 after n0, the only member of its domain, was removed.
 std::string Heir() {
   Fleet fleet;
   fleet.Settle();
@@ -43,7 +44,7 @@
   return heir == "n1" ? "n2" : "n1";
 }
 
-// What `node` calls at w0 does not arrive, others' calls do.
+// Calls of `nodes` to w0 don't arrive; calls of other instances do.
 auto UnreachedFor(const std::set<std::string>& nodes) {
   return [nodes](const std::string& node, const std::string& worker,
                  const WorkerRequest&) {
@@ -52,19 +53,19 @@
   };
 }
 
-// n0 is turned away by the store and goes on renewing what runs at w0. Another
-// instance is started when n0's registration has just ended: it has never seen
-// n0. The third one has not heard of the end, as its watch is silent, and
-// counts n0 among the present ones. It says that nobody whom it remembers can
-// renew leases, and the young one, which has read of n0's machine, takes that
-// for the whole truth.
-TEST_CASE("What a member says that has not heard of an end counts for less") {
+// Guards against a worker that is declared lost while n0 renews its leases. The
+// store refuses n0, which keeps renewing the runs at w0. Another instance
+// starts just after n0's registration has ended, so it has never seen n0. The
+// third one gets no updates on its watch and still counts n0 as a member, so it
+// reports that no former member that it remembers can renew leases. The new
+// instance, which has read n0's machine record, took that for complete.
+TEST_CASE("A report from before a member's removal does not cover it") {
   const std::string heir = Heir();
   const std::string other = Other(heir);
   Fleet fleet;
   const std::string job = BeginLasting(fleet, other, other);
   fleet.Kill(heir);
-  fleet.Run(seconds(20));  // nobody may take it for one that renews leases
+  fleet.Run(seconds(20));  // no member may count it as one that renews leases
   bool silent = false;
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     if (node == "n0") {
@@ -89,11 +90,11 @@
   CheckPromises(fleet);
 }
 
-// n0 loses its registration and its answers from w0. Asked by the next owner it
-// gives the worker up and says until when its leases last. Before that time it
-// registers again, is the worker's owner again and renews the leases; the other
-// one, which has claimed nothing yet, holds on to what it was told while its
-// call is under way or its watch is late.
+// n0 loses its registration and its answers from w0. Queried by the next owner,
+// it releases the worker and reports when its leases end. Before that time it
+// registers again, owns the worker again and renews the leases. The other
+// owner, which has claimed nothing yet, may still rely on the reported end
+// while its call is in flight or its watch is delayed.
 void PlayReturn(Duration back, Duration late, Duration frozen) {
   const std::string heir = Heir();
   Fleet fleet;
@@ -134,32 +135,33 @@
   CheckPromises(fleet);
 }
 
-TEST_CASE("A member that has given a worker up and owns it again is seen") {
+TEST_CASE("A member that released a worker and owns it again is noticed") {
   for (int it = 0; it < 24; ++it) {
     PlayReturn(milliseconds(5400 + 100 * it), Duration(0), Duration(0));
   }
 }
 
-TEST_CASE("A member that owns a worker again is heard of late") {
+TEST_CASE("Renewed ownership of a worker is noticed despite a delayed watch") {
   for (int it = 0; it < 12; ++it) {
     PlayReturn(milliseconds(6000 + 100 * it), milliseconds(300), Duration(0));
   }
 }
 
-// What came meanwhile waits in the queue of a process that stood still, or that
-// is short of processor time; a timer is served before it.
-TEST_CASE("A member that owns a worker again is heard of after a pause") {
+// Messages wait in the queue of a process that was stalled, or that is short of
+// processor time; a timer is handled before them.
+TEST_CASE("Renewed ownership of a worker is noticed after a pause") {
   for (int it = 0; it < 12; ++it) {
     PlayReturn(milliseconds(6000 + 100 * it), Duration(0), milliseconds(1600));
   }
 }
 
-// An owner that has claimed a worker of another domain loses sight of it and of
-// that whole domain, where an instance starts, registers and takes the worker
-// over. The store tells all of them of each other. The former owner declares
-// the worker gone when its own leases are over, though the list of members says
-// that the worker is another's by now.
-TEST_CASE("A worker that has another owner by now is not taken for gone") {
+// Guards against a former owner that declares a worker lost. It has claimed a
+// worker of another domain, and can no longer reach that domain, where an
+// instance starts, registers and takes the worker over. All of them see each
+// other in the store's list of members. The former owner declared the worker
+// lost when its own leases had ended, although by that list the worker has
+// another owner.
+TEST_CASE("A worker that has another owner by now is not declared lost") {
   const std::string heir = Heir();
   Fleet fleet;
   const std::string job = BeginLasting(fleet, heir, heir);
@@ -170,7 +172,7 @@
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from != to && (from == "n0" || to == "n0");
   };
-  fleet.Run(milliseconds(2200));  // a call that is under way is still answered
+  fleet.Run(milliseconds(2200));  // a call in flight is still answered
   fleet.Start("n0");
   fleet.Run(seconds(12));
   CHECK(fleet.state("n0").owned.at("w0-1").claimed);
@@ -179,12 +181,13 @@
   CheckPromises(fleet);
 }
 
-// A worker is lost together with its owner, and its entry has left the store's
-// list before that owner is back: the new life never learns of the worker, and
-// the one that had claimed it meanwhile gives the claim up. The owner of the
-// job is alive all the while, so nobody adopts anything; it asks the new life
-// for the run and gets no answer.
-TEST_CASE("A lost worker that its new owner has never seen is found gone") {
+// Guards against a lost worker whose tasks never run again. The worker fails
+// together with its owner, and its entry has left the store's list before that
+// owner restarts: the new process never learns of the worker, and the instance
+// that had claimed it meanwhile releases the claim. The job's owner stays up,
+// so no job is adopted; it queries the new process for the run and gets no
+// reply.
+TEST_CASE("A failed worker that its new owner never saw is declared lost") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
@@ -201,19 +204,18 @@
   CheckPromises(fleet);
 }
 
-// The machine of a worker is lost while the worker's owner is in its planned
-// stop, after which that owner's machine leaves for good. Nobody registers
-// there again, so the leases count as renewed for as long as those of a process
-// that is cut off.
-TEST_CASE("A worker that dies during its owner's last stop is gone in time") {
+// Guards against a worker that is declared lost too late. Its machine fails
+// during the planned stop of its owner, whose machine is then removed
+// permanently. No process registers there again, so the leases counted as
+// renewed for as long as those of a process that is cut off.
+TEST_CASE("A worker that dies during its owner's last stop is lost in time") {
   for (int it = 0; it < 8; ++it) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
     fleet.Run(milliseconds(250 * it));
     fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
     fleet.StopPlanned("n0");
-    fleet.Run(
-        milliseconds(1900));  // a call that is under way is still answered
+    fleet.Run(milliseconds(1900));  // a call in flight is still answered
     fleet.worker("w0").Crash(fleet.now(), "w0-2");
     fleet.Run(milliseconds(2600));
     fleet.store.Remove("worker/w0-1");
@@ -224,9 +226,10 @@
   }
 }
 
-// The domain of a worker and its owner loses power for good. The owner counts
-// as one that may be cut off and renew leases for 12 s more.
-TEST_CASE("A worker that is lost for good with its owner is gone in time") {
+// Guards against a worker that is declared lost too late. Its domain loses
+// power permanently, with its owner, which counts as one that may be cut off
+// and renew leases for another 12 s.
+TEST_CASE("A worker that fails permanently with its owner is lost in time") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
@@ -239,11 +242,12 @@
   CheckPromises(fleet);
 }
 
-// An instance is restarted and reads the list of members while the process
-// before it still stands there; that entry ends before the store lets the new
-// one register. It can't tell of itself that it has replaced the other process,
-// asks it, at its own address, and gets no answer.
-TEST_CASE("A process knows that the one before it on its machine has ended") {
+// Guards against an instance that waits for a reply of its own predecessor. It
+// restarts and reads the list of members while the former process is still
+// listed; that entry ends before the store lets the new process register. It
+// can't derive from the list that it replaced the former process, queries it at
+// its own address and gets no reply.
+TEST_CASE("A process knows that its predecessor on the machine has ended") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   const Time begin = fleet.now();
@@ -260,17 +264,18 @@
   fleet.Start("n0");
   fleet.Run(milliseconds(4200));
   fleet.store.Remove("worker/w0-1");
-  // A lease after it has registered, and what claiming and asking takes.
+  // One lease after the registration, plus the time for claims and queries.
   fleet.Run(milliseconds(3500 + 6420 + 1500 - 4500));
   CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
   CheckPromises(fleet);
 }
 
-// A machine is suspended for a while, and is turned away by the store. By a
-// clock that stood still meanwhile its process went on renewing for 12 s after
-// it had woken up, so longer than the others think: 8 tasks ran twice for a
-// second. The clock of the events counts a suspension, see the runtime's tests.
-TEST_CASE("A suspended member renews no longer than the others count on") {
+// Guards against a suspended process that renews leases for too long. Its
+// machine is suspended for a while and the store refuses it. By a clock that
+// stops during a suspension, the process kept renewing for 12 s after it
+// resumed, longer than the others assume: 8 tasks ran twice for a second. The
+// clock of the events counts a suspension, see the runtime's tests.
+TEST_CASE("A suspended member renews no longer than the others assume") {
   const std::string heir = Heir();
   constexpr Duration kSuspended = milliseconds(4500);
   for (int it = 0; it < 8; ++it) {
@@ -288,9 +293,10 @@
   }
 }
 
-// All instances lose power at once with a worker, and one of them does not come
-// back: it counts as one that may be cut off and renew leases.
-TEST_CASE("A worker that died in a loss of power of all is gone in time") {
+// Guards against a worker that is declared lost too late. All instances lose
+// power at once with the worker, and one of them does not restart: it counts as
+// one that may be cut off and renew leases.
+TEST_CASE("A worker that fails in a common power loss is lost in time") {
   for (const bool all_back : {true, false}) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
@@ -316,12 +322,13 @@
 
 constexpr const char* kEntryOfW0 = "w0|a|s|8000|0";
 
-// A worker is cut off until it is found gone, comes back under the same name
-// with nothing running, and is another member's. The member that found it gone
-// goes on saying so for 20 s. When the worker's owner and the owner of a job
-// that runs there die together, that word ends the recovery of the job while
-// its tasks run, and the others never use the worker again.
-TEST_CASE("A worker that comes back after it was found gone counts again") {
+// Guards against an outdated announcement that a worker is lost. The worker is
+// cut off until it is declared lost, reappears under the same name with nothing
+// running, and has another owner. The member that declared it lost announces
+// that for 20 s. When the worker's owner and the owner of a job that runs there
+// die together, the announcement ended the recovery of the job while its tasks
+// ran, and the others never used the worker again.
+TEST_CASE("A worker that reappears after it was declared lost is used again") {
   const std::string heir = Heir();
   Fleet fleet;
   fleet.Settle();
@@ -351,11 +358,12 @@
   CheckPromises(fleet);
 }
 
-// A worker has lost its path to the store, its owner renews what runs there. A
-// young instance that has never seen the worker adopts the job. The members
-// that it knows have told it of all workers that it knows; that one of them,
-// the worker's owner, has said nothing at all does not hold the recovery up.
-TEST_CASE("A recovery hears each member before it ends") {
+// Guards against a recovery that ends too early. A worker can't reach the
+// store, but its owner renews its runs. A restarted instance that has never
+// seen the worker adopts the job. All workers that it knows are covered by
+// reports of other members, so the missing report of one member, the worker's
+// owner, did not delay the end of the recovery.
+TEST_CASE("A recovery waits for a report of each member") {
   Fleet fleet({.instances = 3, .workers = 3});
   fleet.Settle();
   const std::string job = JobFor(fleet, "n2");
@@ -381,10 +389,11 @@
   CheckPromises(fleet);
 }
 
-// An order to stop from a job's new owner that comes before its first question
-// tells whose the job is. The question then looks like one that was asked
-// again, and a worker counts as surely owned since the adoption before.
-TEST_CASE("A stop that overtakes an adopter's question does not answer it") {
+// Guards against an adoption query that is taken for a repeated one. A stop
+// command of the job's new owner that arrives before its first query already
+// names the owner, and a worker's ownership counted as proven since the
+// adoption before.
+TEST_CASE("A stop that overtakes an adopter's query is not taken for it") {
   Fleet fleet;
   fleet.Settle();
   const std::string job = "j1";
