--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/questions.h
@@ -31,8 +31,8 @@
 // Retries pending queries and times out requests, as due.
 void DriveCallers(Context& context);
 
-// Reports the job's state to a waiter of its cancel: a caller here, or the member
-// that forwarded the cancel.
+// Reports the job's state to a waiter of its cancel: a caller here, or the
+// member that forwarded the cancel.
 void AnswerCancel(Context& context, const Asker& canceller, JobState state);
 
 // Reports the job's state to the callers that wait for it: to all, or to those
@@ -50,8 +50,8 @@
 // state.
 void HandOverAskers(Context& context);
 
-// Numbers of unanswered requests, of callers here and of other members on
-// behalf of their callers.
+// Counts of unanswered requests, of callers here and of other members on behalf
+// of their callers.
 struct OpenRequests {
   std::size_t questions = 0;  // for jobs of other or unknown owners
   std::size_t submissions = 0;
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -34,7 +34,8 @@
 // each query to all members.
 constexpr Duration kTellAgain = milliseconds(5000);
 
-// All members and workers that may run the job's tasks are accounted for.
+// Ends the recovery, as all members and workers that may run the job's tasks
+// are accounted for. Tasks without a reported run wait to be placed.
 void FinishRecovery(Context& context, Job& job) {
   job.recovering = false;
   NoteRecovered(context, job);
@@ -84,7 +85,7 @@
          });
 }
 
-// Whether reports of members or on workers are missing.
+// Whether a report of a member, or one that covers a worker, is missing.
 bool HasToAsk(const Job& job) {
   return !job.uncovered.empty() || !job.unheard.empty();
 }
