--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -33,7 +33,9 @@
                    .job = std::string(key.substr(slash + 1))};
 }
 
-void ReadScan(Context& context, const std::string& prefix, OrphanScan& scan) {
+void ReadScanPage(Context& context,
+                  const std::string& prefix,
+                  OrphanScan& scan) {
   scan.in_flight = true;
   AskStore(context, StoreRange{.prefix = prefix, .after = scan.after},
            ForOrphans{.prefix = prefix});
@@ -43,7 +45,7 @@
   OrphanScan& scan = context.state.scans[prefix];
   if (!scan.in_flight) {
     scan.after.clear();
-    ReadScan(context, prefix, scan);
+    ReadScanPage(context, prefix, scan);
   }
 }
 
@@ -73,9 +75,9 @@
   if (entry.reading_record || entry.want_record) {
     return OrphanStep::kWait;
   }
-  const bool gone =
+  const bool is_over =
       entry.absent || (entry.record && IsFinal(entry.record->state));
-  if (gone) {
+  if (is_over) {
     return OrphanStep::kForget;
   }
   if (!entry.record || !entry.spec) {
@@ -203,7 +205,7 @@
   }
   if (page->more && !page->items.empty()) {
     it->second.after = page->items.back().key;
-    ReadScan(context, prefix, it->second);
+    ReadScanPage(context, prefix, it->second);
   } else {
     context.state.scans.erase(it);
   }
--- a/Source/engine/jobs/job_table.cc
+++ b/Source/engine/jobs/job_table.cc
@@ -14,7 +14,7 @@
 // More runs than one owner can come to: 1,000 starts of one task.
 constexpr std::uint64_t kRunsPerOwner = 1000;
 
-std::string Span(const Job& job, Time at) {
+std::string FormatSpan(const Job& job, Time at) {
   return at == kForever ? "-"
                         : std::to_string(ToMilliseconds(at - job.created));
 }
@@ -25,10 +25,11 @@
   std::string text;
   for (const Occurrence& occurrence : job.occurrences) {
     for (const StepRun& it : occurrence.steps) {
-      text += fmt::format("{}{}/{}/{}/{}/{}", text.empty() ? "" : ";",
-                          Span(job, it.ready_at), Span(job, it.advised_at),
-                          Span(job, it.first_start), Span(job, it.last_start),
-                          Span(job, it.done_at));
+      text += fmt::format(
+          "{}{}/{}/{}/{}/{}", text.empty() ? "" : ";",
+          FormatSpan(job, it.ready_at), FormatSpan(job, it.advised_at),
+          FormatSpan(job, it.first_start), FormatSpan(job, it.last_start),
+          FormatSpan(job, it.done_at));
     }
   }
   return text;
@@ -156,9 +157,9 @@
 }
 
 void StopTask(Context& context, Job& job, const TaskName& name, Task& task) {
-  const bool out =
+  const bool is_placed =
       task.phase == TaskPhase::kOffered || task.phase == TaskPhase::kRunning;
-  if (!out) {
+  if (!is_placed) {
     return;
   }
   if (!task.stopping) {
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -51,24 +51,25 @@
 std::optional<SpecFault> CheckSizes(const State& state,
                                     const JobSpec& spec,
                                     const std::string& service) {
-  Resources most;
+  Resources largest;
   for (const auto& [id, it] : state.workers) {
     if (it.info.service == service) {
-      const Resources& has = it.info.capacity;
-      most.processors_milli =
-          std::max(most.processors_milli, has.processors_milli);
-      most.memory_mb = std::max(most.memory_mb, has.memory_mb);
-      most.accelerators = std::max(most.accelerators, has.accelerators);
+      const Resources& capacity = it.info.capacity;
+      largest.processors_milli =
+          std::max(largest.processors_milli, capacity.processors_milli);
+      largest.memory_mb = std::max(largest.memory_mb, capacity.memory_mb);
+      largest.accelerators =
+          std::max(largest.accelerators, capacity.accelerators);
     }
   }
-  if (most == Resources()) {
+  if (largest == Resources()) {
     return std::nullopt;
   }
   for (std::size_t it = 0; it < spec.steps.size(); ++it) {
-    const Resources room = RoomOf(spec.steps[it]);
-    if (!Fits(room, most)) {
+    const Resources needed = RoomOf(spec.steps[it]);
+    if (!Fits(needed, largest)) {
       return SpecFault{.path = fmt::format("steps[{}]", it),
-                       .problem = DescribeMisfit(room, most),
+                       .problem = DescribeMisfit(needed, largest),
                        .allowed = "what the largest worker has"};
     }
   }
@@ -132,7 +133,7 @@
 
 // When a question that comes now is given up: in time for the caller, before
 // the process may be killed, and never at once.
-Time QuestionDeadline(const Context& context) {
+Time QueryDeadline(const Context& context) {
   const Time usual = context.now + kQuestionPatience;
   if (!context.state.stop.asked) {
     return usual;
@@ -141,13 +142,13 @@
       usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
 }
 
-void TellState(Context& context, const Asker& asker, const Job& job) {
+void ReportState(Context& context, const Asker& waiter, const Job& job) {
   const JobState state = ShownState(job);
-  if (asker.member.empty()) {
-    return Answer(context, asker.call, JobShown{.state = state});
+  if (waiter.member.empty()) {
+    return Answer(context, waiter.call, JobShown{.state = state});
   }
-  Reply(context, asker.member,
-        JobReply{.call = asker.call, .known = true, .state = state});
+  Reply(context, waiter.member,
+        JobReply{.call = waiter.call, .known = true, .state = state});
 }
 
 // All that is left of the job runs, so that it may have ended by now.
@@ -172,19 +173,19 @@
   return true;
 }
 
-void OnStateAsked(Context& context, Job& job, Asker asker) {
+void OnStateQuery(Context& context, Job& job, Asker waiter) {
   if (!MayHaveEnded(job)) {
-    return TellState(context, asker, job);
+    return ReportState(context, waiter, job);
   }
-  asker.until = context.now + kStateNews;
-  job.watchers.push_back(std::move(asker));
+  waiter.until = context.now + kStateNews;
+  job.watchers.push_back(std::move(waiter));
 }
 
 void BeginCancel(Context& context, Job& job, Asker canceller) {
   if (IsFinal(job.stored_state)) {
     return AnswerCancel(context, canceller, job.stored_state);
   }
-  canceller.until = QuestionDeadline(context);
+  canceller.until = QueryDeadline(context);
   job.cancellers.push_back(std::move(canceller));
   if (!job.stored) {
     job.cancel_wanted = true;
@@ -193,10 +194,10 @@
   EndJob(context, job, JobState::kCancelled, "caller");
 }
 
-void Ask(Context& context,
-         std::uint64_t id,
-         WaitingCaller& caller,
-         const std::string& owner) {
+void SendQuery(Context& context,
+               std::uint64_t id,
+               WaitingCaller& caller,
+               const std::string& owner) {
   caller.asked = owner;
   caller.asked_at = context.now;
   Send(context, owner,
@@ -210,22 +211,22 @@
 // While the store can't be reached, nothing tells whose the job is; its owner
 // does, if it can be reached. An instance that the store turns away would
 // otherwise have no answer for its callers for as long as that lasts.
-void AskAllWithoutStore(Context& context,
-                        std::uint64_t id,
-                        WaitingCaller& caller) {
+void QueryAllWithoutStore(Context& context,
+                          std::uint64_t id,
+                          WaitingCaller& caller) {
   if (context.state.store.healthy ||
       !HasPassed(context.now, caller.asked_at, kPeerAnswer)) {
     return;
   }
   for (const std::string& it : OtherMembers(context)) {
-    Ask(context, id, caller, it);
+    SendQuery(context, id, caller, it);
   }
   caller.asked.clear();
 }
 
-void TellOutcome(Context& context,
-                 const WaitingCaller& caller,
-                 JobState state) {
+void ReportOutcome(Context& context,
+                   const WaitingCaller& caller,
+                   JobState state) {
   if (caller.question == CallerQuestion::kCancel) {
     Answer(context, caller.call, CancelTaken{.state = state});
   } else {
@@ -242,17 +243,17 @@
     return true;
   }
   if (entry.record && IsFinal(entry.record->state)) {
-    TellOutcome(context, caller, entry.record->state);
+    ReportOutcome(context, caller, entry.record->state);
     return true;
   }
   return false;
 }
 
 // True when the caller was answered.
-bool Advance(Context& context, std::uint64_t id, WaitingCaller& caller) {
+bool TryAnswer(Context& context, std::uint64_t id, WaitingCaller& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
     if (caller.question == CallerQuestion::kState) {
-      OnStateAsked(context, *job, Asker{.call = caller.call});
+      OnStateQuery(context, *job, Asker{.call = caller.call});
     } else {
       BeginCancel(context, *job, Asker{.call = caller.call});
     }
@@ -260,7 +261,7 @@
   }
   const CatalogEntry& entry = context.state.catalog[caller.job];
   if (entry.final_state) {
-    TellOutcome(context, caller, *entry.final_state);
+    ReportOutcome(context, caller, *entry.final_state);
     return true;
   }
   const bool read = entry.record || entry.absent;
@@ -268,7 +269,7 @@
     if (!entry.reading_record || entry.read_at < caller.read_from) {
       WantRecord(context, caller.job);
     }
-    AskAllWithoutStore(context, id, caller);
+    QueryAllWithoutStore(context, id, caller);
     return false;
   }
   if (AnswerFromRecord(context, caller, entry)) {
@@ -286,38 +287,39 @@
     caller.read_from = context.now;  // until somebody has adopted it
     return false;
   }
-  const bool silent = caller.asked == owner &&
-                      HasPassed(context.now, caller.asked_at, kPeerAnswer);
-  if (silent) {
+  const bool unresponsive =
+      caller.asked == owner &&
+      HasPassed(context.now, caller.asked_at, kPeerAnswer);
+  if (unresponsive) {
     WantRecord(context, caller.job);
   }
-  if (silent || caller.asked != owner) {
-    Ask(context, id, caller, owner);
+  if (unresponsive || caller.asked != owner) {
+    SendQuery(context, id, caller, owner);
   }
   return false;
 }
 
-void OnQuestion(Context& context,
-                std::uint64_t call,
-                CallerQuestion question,
-                const std::string& job) {
+void OnCallerQuery(Context& context,
+                   std::uint64_t call,
+                   CallerQuestion question,
+                   const std::string& job) {
   const std::uint64_t id = ++context.state.last_question;
   WaitingCaller caller{.call = call,
                        .question = question,
                        .job = job,
                        .since = context.now,
-                       .give_up = QuestionDeadline(context)};
+                       .give_up = QueryDeadline(context)};
   // A job that its owner was known for is asked about there at once.
   const auto entry = context.state.catalog.find(job);
   const bool cached =
       entry != context.state.catalog.end() && entry->second.record;
   caller.read_from = cached ? Time::min() : context.now;
-  if (!Advance(context, id, caller)) {
+  if (!TryAnswer(context, id, caller)) {
     context.state.callers.emplace(id, std::move(caller));
   }
 }
 
-void GiveUp(Context& context, const WaitingCaller& caller) {
+void TimeOutQuery(Context& context, const WaitingCaller& caller) {
   const CatalogEntry& entry = context.state.catalog[caller.job];
   const bool read_since = entry.record && entry.known_from >= caller.since;
   if (caller.question == CallerQuestion::kState && read_since) {
@@ -330,7 +332,9 @@
          NotKnown{.detail = "the job's owner or the store can't be reached"});
 }
 
-void OnWaiting(Context& context, std::uint64_t call, const QueuePolicy& queue) {
+void OnQueueLengthQuery(Context& context,
+                        std::uint64_t call,
+                        const QueuePolicy& queue) {
   std::uint32_t jobs = CountWaiting(context.state, queue.name);
   for (const auto& [member, queues] : context.state.digest.waiting) {
     const auto it = queues.find(queue.name);
@@ -340,7 +344,7 @@
 }
 
 // The cancel goes on; a member that asked for its caller gives up by itself.
-void GiveUpCancellers(Context& context, Job& job) {
+void TimeOutCancellers(Context& context, Job& job) {
   std::erase_if(job.cancellers, [&](const Asker& it) {
     const bool due = context.now >= it.until;
     if (due && it.member.empty()) {
@@ -352,7 +356,7 @@
   });
 }
 
-void GiveUpSubmitters(Context& context, Job& job) {
+void TimeOutSubmitters(Context& context, Job& job) {
   for (const std::uint64_t it : std::exchange(job.submitters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
     Answer(context, it, NotKnown{.detail = "the store has not answered"});
@@ -361,7 +365,8 @@
 
 // Submissions that the store has not answered.
 void DriveSubmitters(Context& context) {
-  const bool well = context.state.store.healthy && IsRegistered(context.state);
+  const bool store_usable =
+      context.state.store.healthy && IsRegistered(context.state);
   const bool stop_is_due =
       context.state.stop.asked && context.now >= StopDeadline(context.state);
   std::vector<std::string> withdrawn;
@@ -370,7 +375,7 @@
     if (job.stored || job.submitters.empty()) {
       continue;
     }
-    if (!well && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
+    if (!store_usable && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
       for (const std::uint64_t it : job.submitters) {
         Refuse(context, it, id,
                context.state.stop.asked ? RefusalCause::kStopping
@@ -379,7 +384,7 @@
       withdrawn.push_back(id);
     } else if (stop_is_due ||
                HasPassed(context.now, job.created, kSubmitPatience)) {
-      GiveUpSubmitters(context, job);
+      TimeOutSubmitters(context, job);
     }
   }
   for (const std::string& it : withdrawn) {
@@ -414,39 +419,39 @@
 
 // A job that is named by its id alone needs none.
 bool NeedsQueue(const CallerRequest& request) {
-  const bool asks = request.question == CallerQuestion::kState ||
-                    request.question == CallerQuestion::kCancel;
-  return !asks || request.job.empty();
+  const bool is_job_query = request.question == CallerQuestion::kState ||
+                            request.question == CallerQuestion::kCancel;
+  return !is_job_query || request.job.empty();
 }
 
 }  // namespace
 
-void OnCallerAsked(Context& context, const CallerAsked& asked) {
-  const CallerRequest& request = asked.request;
+void OnCallerAsked(Context& context, const CallerAsked& event) {
+  const CallerRequest& request = event.request;
   if (context.state.configuration.version == 0) {
-    return Refuse(context, asked.call, request.path + request.job,
+    return Refuse(context, event.call, request.path + request.job,
                   RefusalCause::kNotReady);
   }
   const Target target = TargetOf(context.state.configuration, request);
   if (target.queue == nullptr && NeedsQueue(request)) {
-    return Answer(context, asked.call, NoSuchQueue{});
+    return Answer(context, event.call, NoSuchQueue{});
   }
   if (request.question == CallerQuestion::kWaiting) {
-    return OnWaiting(context, asked.call, *target.queue);
+    return OnQueueLengthQuery(context, event.call, *target.queue);
   }
   if (!IsJobId(target.job)) {
     return Answer(
-        context, asked.call,
+        context, event.call,
         BadRequest{
             .fault = {.path = "id",
                       .problem = fmt::format("'{}' is no job's id", target.job),
                       .allowed = "1 to 64 letters, digits, - and _"}});
   }
   if (request.question == CallerQuestion::kSubmit) {
-    return OnSubmit(context, asked.call, target.job, *target.queue,
+    return OnSubmit(context, event.call, target.job, *target.queue,
                     request.spec);
   }
-  OnQuestion(context, asked.call, request.question, target.job);
+  OnCallerQuery(context, event.call, request.question, target.job);
 }
 
 void OnJobQuery(Context& context,
@@ -460,7 +465,7 @@
     return BeginCancel(context, *job,
                        Asker{.member = from, .call = query.call});
   }
-  OnStateAsked(context, *job, Asker{.member = from, .call = query.call});
+  OnStateQuery(context, *job, Asker{.member = from, .call = query.call});
 }
 
 void OnJobReply(Context& context, const JobReply& reply) {
@@ -478,14 +483,14 @@
   if (IsFinal(reply.state)) {
     context.state.catalog[it->second.job].final_state = reply.state;
   }
-  TellOutcome(context, it->second, reply.state);
+  ReportOutcome(context, it->second, reply.state);
   context.state.callers.erase(it);
 }
 
 void OnRecordKnown(Context& context, const std::string& job) {
   std::vector<std::uint64_t> answered;
   for (auto& [id, caller] : context.state.callers) {
-    if (caller.job == job && Advance(context, id, caller)) {
+    if (caller.job == job && TryAnswer(context, id, caller)) {
       answered.push_back(id);
     }
   }
@@ -497,10 +502,10 @@
 void DriveCallers(Context& context) {
   std::vector<std::uint64_t> answered;
   for (auto& [id, caller] : context.state.callers) {
-    if (Advance(context, id, caller)) {
+    if (TryAnswer(context, id, caller)) {
       answered.push_back(id);
     } else if (context.now >= caller.give_up) {
-      GiveUp(context, caller);
+      TimeOutQuery(context, caller);
       answered.push_back(id);
     }
   }
@@ -510,7 +515,7 @@
   for (const std::string& it : context.state.active) {
     Job& job = context.state.jobs.at(it);
     AnswerWatchers(context, job, false);
-    GiveUpCancellers(context, job);
+    TimeOutCancellers(context, job);
   }
   DriveSubmitters(context);
 }
@@ -527,7 +532,7 @@
   std::erase_if(job.watchers, [&](const Asker& it) {
     const bool due = all || context.now >= it.until;
     if (due) {
-      TellState(context, it, job);
+      ReportState(context, it, job);
     }
     return due;
   });
@@ -538,7 +543,7 @@
                      const std::vector<Asker>& cancellers) {
   for (const Asker& it : cancellers) {
     if (it.member.empty()) {
-      OnQuestion(context, it.call, CallerQuestion::kCancel, job);
+      OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
     } else {
       Reply(context, it.member, JobReply{.call = it.call});
     }
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -22,15 +22,15 @@
 // A worker whose entry lapsed in an outage of the store is listed again within
 // about two seconds. Until then a process that has just started can't know of
 // it, nor of what runs there.
-constexpr Duration kListSettled = milliseconds(2300);
+constexpr Duration kListSettleTime = milliseconds(2300);
 
 // All members are asked this often, should the owner that is known of a worker
 // be a former one.
-constexpr Duration kAskAll = milliseconds(1000);
+constexpr Duration kQueryAllInterval = milliseconds(1000);
 
 // Repeats the list of unlisted workers that recovery waits for, as a message
 // may get lost. Those that a member is to claim go with each question to all.
-constexpr Duration kTellAgain = milliseconds(5000);
+constexpr Duration kUnlistedRepeatInterval = milliseconds(5000);
 
 // Everything that can run the job was heard of.
 void FinishRecovery(Context& context, Job& job) {
@@ -67,7 +67,7 @@
 // No worker is missed that may run an adopted job's tasks. The list alone is
 // not enough: workers of a domain that is cut off lapse from it and run on, so
 // that members that have followed the list are asked.
-bool KnowsWorkers(Context& context) {
+bool KnowsAllWorkers(Context& context) {
   if (!ListsAreRead(context.state)) {
     return false;
   }
@@ -76,32 +76,32 @@
   }
   const auto others = OtherMembers(context);
   return HasPassed(context.now, context.state.members.registered_at,
-                   kListSettled) &&
+                   kListSettleTime) &&
          std::all_of(others.begin(), others.end(), [&](const std::string& it) {
            return UnseenNow(context).told_by.contains(it);
          });
 }
 
-bool HasToAsk(const Job& job) {
+bool AwaitsReports(const Job& job) {
   return !job.uncovered.empty() || !job.unheard.empty();
 }
 
 // One round of questions for all jobs that are recovering.
-struct Round {
+struct QueryRound {
   bool all = false;       // every member is asked
   bool unseen = false;    // workers are asked for that were never seen
   WorkerSet uncovered{};  // by any of the jobs asked about
   std::map<std::string, AdoptQuery> queries{};
   // Who can speak for a worker, as far as it was looked up.
-  std::map<std::uint32_t, std::string> speakers{};
+  std::map<std::uint32_t, std::string> claimed_owners{};
 };
 
 // The owner that has claimed the worker; empty: none yet. A member that has not
 // claimed it is not asked: it knows nothing of it, and announces its claim.
-const std::string& SpeakerFor(const Context& context,
-                              std::uint32_t worker,
-                              Round& round) {
-  const auto [it, is_new] = round.speakers.try_emplace(worker);
+const std::string& ClaimedOwner(const Context& context,
+                                std::uint32_t worker,
+                                QueryRound& round) {
+  const auto [it, is_new] = round.claimed_owners.try_emplace(worker);
   if (is_new) {
     const std::string& id = context.state.recovery.numbers.NameOf(worker);
     const auto view = context.state.view.find(id);
@@ -115,14 +115,14 @@
   return it->second;
 }
 
-std::set<std::string> AskedNow(const Context& context,
-                               const Job& job,
-                               Round& round) {
+std::set<std::string> MembersToQuery(const Context& context,
+                                     const Job& job,
+                                     QueryRound& round) {
   std::set<std::string> members = job.unheard;
   if (round.unseen) {
-    const std::set<std::string>& told_by = context.state.unseen.told_by;
+    const std::set<std::string>& reported_by = context.state.unseen.told_by;
     for (const std::string& it : OtherMembers(context)) {
-      if (!told_by.contains(it)) {
+      if (!reported_by.contains(it)) {
         members.insert(it);
       }
     }
@@ -135,15 +135,15 @@
     return members;
   }
   for (const std::uint32_t it : job.uncovered.Numbers()) {
-    const std::string& speaker = SpeakerFor(context, it, round);
-    if (!speaker.empty()) {
-      members.insert(speaker);
+    const std::string& owner = ClaimedOwner(context, it, round);
+    if (!owner.empty()) {
+      members.insert(owner);
     }
   }
   return members;
 }
 
-void AskAbout(Context& context, Job& job, Round& round) {
+void AddToRound(Context& context, Job& job, QueryRound& round) {
   if (job.version == job.stored_version &&
       HasPassed(context.now, job.confirmed_at, kOwnershipDoubt)) {
     // Nobody answers a former owner's questions.
@@ -155,11 +155,11 @@
     return !MayRunTasks(context.state,
                         context.state.recovery.numbers.NameOf(it));
   });
-  if (!HasToAsk(job) && !round.unseen) {
+  if (!AwaitsReports(job) && !round.unseen) {
     return;
   }
   round.uncovered.InsertAll(job.uncovered);
-  for (const std::string& it : AskedNow(context, job, round)) {
+  for (const std::string& it : MembersToQuery(context, job, round)) {
     round.queries[it].jobs.push_back(
         {.job = job.id, .generation = job.generation});
   }
@@ -167,47 +167,49 @@
 
 // Workers that left the store's list and that their present owner may never
 // have seen there. It would not claim them, and recovery would wait for them.
-struct Forgettable {
+struct UnlistedWorker {
   RememberedWorker worker{};
   std::string owner{};  // that is to claim it
 };
 
-std::vector<Forgettable> Remembered(const Context& context,
-                                    const WorkerSet& uncovered) {
-  std::vector<Forgettable> remembered;
+std::vector<UnlistedWorker> FindUnlisted(const Context& context,
+                                         const WorkerSet& uncovered) {
+  std::vector<UnlistedWorker> unlisted;
   for (const std::uint32_t it : uncovered.Numbers()) {
     const std::string& id = context.state.recovery.numbers.NameOf(it);
     if (auto worker = RememberedFor(context.state, id)) {
       std::string owner = ChooseMember(context.state, id, worker->domain);
-      remembered.push_back(
+      unlisted.push_back(
           {.worker = std::move(*worker), .owner = std::move(owner)});
     }
   }
-  return remembered;
+  return unlisted;
 }
 
-void SendRound(Context& context, Round& round) {
+void SendRound(Context& context, QueryRound& round) {
   RecoveryState& recovery = context.state.recovery;
-  const std::vector<Forgettable> remembered =
-      Remembered(context, round.uncovered);
+  const std::vector<UnlistedWorker> unlisted =
+      FindUnlisted(context, round.uncovered);
   for (auto& [member, query] : round.queries) {
-    Time& told = recovery.told.try_emplace(member, Time::min()).first->second;
-    const bool tell_all = HasPassed(context.now, told, kTellAgain);
-    for (const Forgettable& it : remembered) {
-      if (tell_all || (round.all && it.owner == member)) {
+    Time& sent_at =
+        recovery.told.try_emplace(member, Time::min()).first->second;
+    const bool send_all =
+        HasPassed(context.now, sent_at, kUnlistedRepeatInterval);
+    for (const UnlistedWorker& it : unlisted) {
+      if (send_all || (round.all && it.owner == member)) {
         query.remembered.push_back(it.worker);
       }
     }
-    told = tell_all ? context.now : told;
+    sent_at = send_all ? context.now : sent_at;
     query.wants_workers =
         round.unseen && !context.state.unseen.told_by.contains(member);
     Send(context, member, std::move(query));
   }
 }
 
-bool SpeaksFor(const Context& context,
-               const std::string& from,
-               const CoveredWorker& covered) {
+bool CountsAsCovered(const Context& context,
+                     const std::string& from,
+                     const CoveredWorker& covered) {
   const auto view = context.state.view.find(covered.worker);
   const bool newest =
       view == context.state.view.end() || covered.fence >= view->second.fence;
@@ -236,10 +238,12 @@
 
 void DriveRecovery(Context& context) {
   RecoveryState& recovery = context.state.recovery;
-  std::optional<bool> knows_workers;  // looked up once, if any job needs it
-  const bool ask = HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
-  Round round{.all = HasPassed(context.now, recovery.asked_all_at, kAskAll),
-              .unseen = MayMissWorkers(context)};
+  std::optional<bool> knows_all;  // looked up once, if any job needs it
+  const bool query_due =
+      HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
+  QueryRound round{
+      .all = HasPassed(context.now, recovery.asked_all_at, kQueryAllInterval),
+      .unseen = MayMissWorkers(context)};
   bool recovering = false;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
@@ -249,25 +253,25 @@
     std::erase_if(job.unheard, [&](const std::string& member) {
       return FindMember(context.state, member) == nullptr;
     });
-    if (!HasToAsk(job)) {
-      if (!knows_workers) {
-        knows_workers = KnowsWorkers(context);
+    if (!AwaitsReports(job)) {
+      if (!knows_all) {
+        knows_all = KnowsAllWorkers(context);
       }
-      if (*knows_workers) {
+      if (*knows_all) {
         FinishRecovery(context, job);
         continue;
       }
     }
     recovering = true;
-    if (ask || !job.asked) {
-      AskAbout(context, job, round);
+    if (query_due || !job.asked) {
+      AddToRound(context, job, round);
     }
   }
   if (!recovering) {
     recovery = RecoveryState();
     return;
   }
-  if (ask) {
+  if (query_due) {
     recovery.asked_at = context.now;
     recovery.asked_all_at = round.all ? context.now : recovery.asked_all_at;
   }
@@ -292,7 +296,7 @@
   std::vector<std::uint32_t> covered;
   for (const CoveredWorker& it : report.covered) {
     const auto number = context.state.recovery.numbers.Find(it.worker);
-    if (number && SpeaksFor(context, from, it)) {
+    if (number && CountsAsCovered(context, from, it)) {
       covered.push_back(*number);
     }
   }
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -17,10 +17,12 @@
 
 // Between two reads of one job's record because of questions about it: the
 // store is asked once for each two of them.
-constexpr Duration kReviewAgain = milliseconds(1000);
+constexpr Duration kOwnerCheckInterval = milliseconds(1000);
 
 // A later offer of the run, should it have been overtaken, is refused.
-void SayAbsent(Context& context, const std::string& to, const RunQuery& query) {
+void ReportAbsent(Context& context,
+                  const std::string& to,
+                  const RunQuery& query) {
   if (const auto name = ParseTaskName(query.task)) {
     std::uint64_t& refused = context.state.known[name->job].refused[query.task];
     refused = std::max(refused, query.run);
@@ -36,24 +38,24 @@
 // that a run is not here: the present owner has stored its end, and the former
 // one would start the task again on a worker that it still holds.
 bool HasOtherOwner(const State& state,
-                   const std::string& asker,
+                   const std::string& sender,
                    const std::string& task) {
   const auto name = ParseTaskName(task);
   const auto known = name ? state.known.find(name->job) : state.known.end();
   return known != state.known.end() && !known->second.owner.empty() &&
-         known->second.owner != asker;
+         known->second.owner != sender;
 }
 
 // The asker may be the present owner, whose first question and offer were both
 // lost. Answering none of its further ones would leave the task offered for
 // ever. The record names the job's owner, and the question comes again.
-void ReviewOwner(Context& context, const std::string& task) {
+void CheckOwner(Context& context, const std::string& task) {
   const auto name = ParseTaskName(task);
   if (!name) {
     return;
   }
   KnownJob& known = context.state.known[name->job];
-  if (HasPassed(context.now, known.reviewed, kReviewAgain)) {
+  if (HasPassed(context.now, known.reviewed, kOwnerCheckInterval)) {
     known.reviewed = context.now;
     WantRecord(context, name->job);
   }
@@ -63,13 +65,13 @@
 // nothing from others with a lower fence. Another owner with a higher one would
 // have registered before `asked` and be known by now, as all changes of the
 // members up to then are. So no adopted job has to wait for the worker's lease.
-bool IsKnownThoughSilent(const Context& context,
-                         const OwnedWorker& worker,
-                         Time asked) {
+bool IsOwnedThoughUnresponsive(const Context& context,
+                               const OwnedWorker& worker,
+                               Time queried_at) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
-  return IsSilent(worker) && !worker.doubted && members.known_to >= asked &&
-         IsSurelyRegistered(context) &&
+  return IsSilent(worker) && !worker.doubted &&
+         members.known_to >= queried_at && IsSurelyRegistered(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
              context.self();
 }
@@ -78,13 +80,13 @@
 
 void ReportRun(Context& context, const std::string& to, const RunQuery& query) {
   if (HasOtherOwner(context.state, to, query.task)) {
-    ReviewOwner(context, query.task);
+    CheckOwner(context, query.task);
     return;
   }
   OwnedWorker* worker = FindClaimed(context.state, query.worker);
   if (worker == nullptr) {
     if (context.state.gone.contains(query.worker)) {
-      SayAbsent(context, to, query);
+      ReportAbsent(context, to, query);
     }
     return;
   }
@@ -92,13 +94,13 @@
   if (it != worker->runs.end() && it->second.run == query.run) {
     it->second.owner = to;
     it->second.asked_for = context.now;
-    const bool runs = it->second.phase == RunPhase::kRunning;
+    const bool is_running = it->second.phase == RunPhase::kRunning;
     return Send(context, to,
                 RunReports{.runs = {{.task = query.task,
                                      .run = query.run,
                                      .worker = query.worker,
-                                     .state = runs ? RunState::kRunning
-                                                   : RunState::kPending,
+                                     .state = is_running ? RunState::kRunning
+                                                         : RunState::kPending,
                                      .checkpoint = it->second.checkpoint}}});
   }
   if (RepeatEndsOf(*worker, query.task)) {
@@ -119,10 +121,11 @@
       continue;
     }
     const auto run = worker.runs.find(it.task);
-    const bool here = run != worker.runs.end() && run->second.run == it.run;
-    if (!here && !RepeatEndsOf(worker, it.task)) {
-      SayAbsent(context, it.from,
-                {.task = it.task, .run = it.run, .worker = id});
+    const bool is_present =
+        run != worker.runs.end() && run->second.run == it.run;
+    if (!is_present && !RepeatEndsOf(worker, it.task)) {
+      ReportAbsent(context, it.from,
+                   {.task = it.task, .run = it.run, .worker = id});
     }
   }
   worker.proof_wanted = worker.proof_wanted || !open.empty();
@@ -144,7 +147,7 @@
   OnWorkersRemembered(context, query.remembered);
   AdoptReport report;
   std::set<std::string> jobs;
-  Time asked{0};
+  Time queried_at{0};
   for (const JobGeneration& it : query.jobs) {
     KnownJob& known = context.state.known[it.job];
     if (it.generation < known.generation) {
@@ -155,7 +158,7 @@
       known.adopted = context.now;
     }
     known.heard = context.now;
-    asked = std::max(asked, known.adopted);
+    queried_at = std::max(queried_at, known.adopted);
     jobs.insert(it.job);
     report.jobs.push_back(it.job);
   }
@@ -164,7 +167,8 @@
       continue;
     }
     // Only a worker that is surely owned since the question first came.
-    if (worker.proven >= asked || IsKnownThoughSilent(context, worker, asked)) {
+    if (worker.proven >= queried_at ||
+        IsOwnedThoughUnresponsive(context, worker, queried_at)) {
       report.covered.push_back({.worker = id, .fence = worker.fence});
     } else {
       worker.proof_wanted = true;
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -16,7 +16,7 @@
 // A task has to be gone this long after its job's cancel was acknowledged.
 constexpr Duration kCancelBound = milliseconds(3400);
 
-bool IsGone(const Fleet& fleet, const std::string& job) {
+bool HaveAllRunsEnded(const Fleet& fleet, const std::string& job) {
   return std::none_of(
       fleet.seen.begin(), fleet.seen.end(), [&](const SeenRun& it) {
         return it.task.starts_with(job + ".") && it.ended == kForever;
@@ -49,7 +49,7 @@
   return adopter;
 }
 
-void LoseWorkerOrders(Fleet& fleet, const std::string& worker) {
+void DropWorkerCommands(Fleet& fleet, const std::string& worker) {
   fleet.order_fault = [worker](const std::string&, const std::string& to,
                                const WorkerRequest&) {
     return to == worker ? OrderFault::kUnreached : OrderFault::kNone;
@@ -60,13 +60,13 @@
 void StartAt(Fleet& fleet, const std::string& worker, const std::string& task) {
   const std::string owner = OwnerAt(fleet, worker);
   REQUIRE_FALSE(owner.empty());
-  const OwnedWorker& held = fleet.state(owner).owned.at(worker + "-1");
+  const OwnedWorker& owned = fleet.state(owner).owned.at(worker + "-1");
   fleet.worker(worker).Handle(fleet.now(),
                               StartRun{.task = task,
                                        .run = 1,
                                        .payload = "p",
-                                       .fence = held.fence,
-                                       .lease_until_ms = held.lease_until_ms});
+                                       .fence = owned.fence,
+                                       .lease_until_ms = owned.lease_until_ms});
 }
 
 // A job of n0 whose 36 tasks run on until they are stopped.
@@ -91,7 +91,7 @@
   CancelNow(fleet, "n0", "j1");
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
   CHECK(CountRuns(fleet, "j1") == 36);
 }
 
@@ -106,7 +106,7 @@
   };
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(6));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // A job was adopted and waited 18 s to hear of a worker that had died. Its
@@ -117,7 +117,7 @@
 TEST_CASE("A stop that got lost while the job is adopted is repeated") {
   Fleet fleet;
   BeginEndless(fleet);
-  LoseWorkerOrders(fleet, "w0");
+  DropWorkerCommands(fleet, "w0");
   fleet.Kill("n0");
   const std::string adopter = AwaitAdoption(fleet, "j1");
   fleet.Run(seconds(2));
@@ -131,8 +131,8 @@
   fleet.Run(cancelled + kCancelBound - fleet.now());
   for (const SeenRun& it : fleet.seen) {
     INFO(it.task << " on " << it.worker);
-    const bool gone = it.ended != kForever || it.worker == "w0-1";
-    CHECK(gone);
+    const bool ended_or_lost = it.ended != kForever || it.worker == "w0-1";
+    CHECK(ended_or_lost);
   }
 }
 
@@ -147,13 +147,13 @@
   spec.steps.front().concurrent = true;
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
-  const std::string still = fleet.seen.back().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(60));
+  const std::string stalled = fleet.seen.back().worker.substr(0, 2);
+  fleet.worker(stalled).StandStill(fleet.now(), fleet.now() + seconds(60));
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") > 4; }, seconds(8)));
   fleet.Run(milliseconds(200));
   // Of this one the adopter hears for long that it can't be reached.
-  LoseWorkerOrders(fleet, "w5");
+  DropWorkerCommands(fleet, "w5");
   fleet.Kill("n0");
   const std::string adopter = AwaitAdoption(fleet, "j1");
   fleet.Run(seconds(2));
@@ -196,7 +196,7 @@
   CheckPromises(fleet);
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(1));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // An order to start got no answer, the job was cancelled, and the worker
@@ -216,7 +216,7 @@
   fleet.Run(milliseconds(500));
   fleet.Kill("n0");
   fleet.Run(seconds(9));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // The order to stop overtook the offer of the run. The worker's owner had no
@@ -250,7 +250,7 @@
   PlanAll(fleet, {.endless = true});
   StartAt(fleet, "w0", "j1.0.0.0");
   fleet.Run(seconds(3));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // A second run of a job that was known to have ended showed up while the store
@@ -261,14 +261,14 @@
   PlanAll(fleet, {.endless = true});
   StartAt(fleet, "w0", "j1.0.0.0");
   fleet.Run(seconds(3));
-  REQUIRE(IsGone(fleet, "j1"));
+  REQUIRE(HaveAllRunsEnded(fleet, "j1"));
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kRefuse;
   };
   StartAt(fleet, "w0", "j1.0.0.1");
-  REQUIRE_FALSE(IsGone(fleet, "j1"));
+  REQUIRE_FALSE(HaveAllRunsEnded(fleet, "j1"));
   fleet.Run(seconds(3));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // While the store can't be read nobody knows whether the job has ended: what
@@ -292,7 +292,7 @@
   fleet.Kill("n1");
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(4));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 36);
 }
 
@@ -307,7 +307,7 @@
     fleet.Freeze("n1", milliseconds(900));
     fleet.Run(milliseconds(950));
   }
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // An instance with an eighth of a core needs 15 ms for an event that takes 2 ms
@@ -326,7 +326,7 @@
   fleet.Run(seconds(1));
   fleet.Slow("n1", milliseconds(15));
   int others = 0;
-  const auto go_on = [&](Duration span) {
+  const auto submit_others = [&](Duration span) {
     for (const Time until = fleet.now() + span; fleet.now() < until;) {
       const std::string n = std::to_string(others);
       fleet.Submit("n" + std::to_string(others % 3), "other" + n, OneStep(2));
@@ -334,12 +334,12 @@
       fleet.Run(milliseconds(50));
     }
   };
-  go_on(seconds(20));
+  submit_others(seconds(20));
   const std::uint64_t call = fleet.Cancel("n0", "j1");
-  go_on(milliseconds(50));
+  submit_others(milliseconds(50));
   REQUIRE(fleet.answers.contains(call));
-  go_on(kCancelBound - milliseconds(50));
-  CHECK(IsGone(fleet, "j1"));
+  submit_others(kCancelBound - milliseconds(50));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // A job was cancelled before the store had it. The store refused its write, so
@@ -383,7 +383,7 @@
              JobReply{.call = 1, .known = true, .state = JobState::kCancelled});
   fleet.Run(milliseconds(500));
   CHECK_FALSE(fleet.answers.contains(call));
-  CHECK_FALSE(IsGone(fleet, "j1"));
+  CHECK_FALSE(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // A cancel of a job with many tasks told each of them by itself: 24 messages
@@ -423,7 +423,7 @@
   fleet.Run(seconds(3));
   CancelNow(fleet, "n0", "j1");
   fleet.Run(kCancelBound);
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 }  // namespace burdockrock::engine
--- a/Tests/engine/recovery_list_test.cc
+++ b/Tests/engine/recovery_list_test.cc
@@ -14,19 +14,19 @@
 
 // The instances and workers of domain b reach each other and nobody else.
 void CutOffDomain(Fleet& fleet) {
-  const auto is_apart = [](const std::string& name) {
+  const auto is_cut_off = [](const std::string& name) {
     return std::stoi(name.substr(1)) % 3 == 1;
   };
   fleet.is_cut = [=](const std::string& from, const std::string& to) {
-    return is_apart(from) != is_apart(to);
+    return is_cut_off(from) != is_cut_off(to);
   };
   fleet.store_fault = [=](const std::string& node, const StoreRequest&) {
-    return is_apart(node) ? StoreFault::kRefuse : StoreFault::kNone;
+    return is_cut_off(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
   fleet.order_fault = [=](const std::string& node, const std::string& worker,
                           const WorkerRequest&) {
-    return is_apart(node) != is_apart(worker) ? OrderFault::kUnreached
-                                              : OrderFault::kNone;
+    return is_cut_off(node) != is_cut_off(worker) ? OrderFault::kUnreached
+                                                  : OrderFault::kNone;
   };
 }
 
--- a/Tests/engine/recovery_messages_test.cc
+++ b/Tests/engine/recovery_messages_test.cc
@@ -59,7 +59,7 @@
     fleet.Submit(it, "j" + it, OneStep(8));
   }
   fleet.Run(seconds(1));
-  const auto is_apart = [](const std::string& name) {
+  const auto is_cut_off = [](const std::string& name) {
     return std::stoi(name.substr(1)) % 3 == 1;
   };
   std::size_t queries = 0;
@@ -71,19 +71,19 @@
     }
   };
   fleet.is_cut = [&](const std::string& from, const std::string& to) {
-    return is_apart(from) != is_apart(to);
+    return is_cut_off(from) != is_cut_off(to);
   };
   fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
-    return is_apart(node) ? StoreFault::kRefuse : StoreFault::kNone;
+    return is_cut_off(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
   fleet.order_fault = [&](const std::string& node, const std::string& worker,
                           const WorkerRequest&) {
-    return is_apart(node) != is_apart(worker) ? OrderFault::kUnreached
-                                              : OrderFault::kNone;
+    return is_cut_off(node) != is_cut_off(worker) ? OrderFault::kUnreached
+                                                  : OrderFault::kNone;
   };
   fleet.Run(seconds(3));
   for (const std::string& it : fleet.worker_names()) {
-    if (is_apart(it)) {
+    if (is_cut_off(it)) {
       fleet.store.Remove("worker/" + it + "-1");
     }
   }
--- a/Tests/engine/takeover_review_test.cc
+++ b/Tests/engine/takeover_review_test.cc
@@ -22,7 +22,7 @@
   return watch != nullptr && watch->prefix == kMemberPrefix;
 }
 
-std::size_t CountGone(const Fleet& fleet, const std::string& worker) {
+std::size_t CountLost(const Fleet& fleet, const std::string& worker) {
   return static_cast<std::size_t>(std::count_if(
       fleet.log.begin(), fleet.log.end(), [&](const LogLine& line) {
         return line.number == EventNumber::kWorkerGone &&
@@ -31,7 +31,7 @@
 }
 
 // Who owns w0 when n0, the only member of its domain, is gone.
-std::string Heir() {
+std::string SuccessorOfN0() {
   Fleet fleet;
   fleet.Settle();
   fleet.Kill("n0");
@@ -39,12 +39,12 @@
   return fleet.state("n1").owned.contains("w0-1") ? "n1" : "n2";
 }
 
-std::string Other(const std::string& heir) {
-  return heir == "n1" ? "n2" : "n1";
+std::string OtherThan(const std::string& successor) {
+  return successor == "n1" ? "n2" : "n1";
 }
 
 // What `node` calls at w0 does not arrive, others' calls do.
-auto UnreachedFor(const std::set<std::string>& nodes) {
+auto UnreachableFrom(const std::set<std::string>& nodes) {
   return [nodes](const std::string& node, const std::string& worker,
                  const WorkerRequest&) {
     return worker == "w0" && nodes.contains(node) ? OrderFault::kUnreached
@@ -59,32 +59,33 @@
 // renew leases, and the young one, which has read of n0's machine, takes that
 // for the whole truth.
 TEST_CASE("What a member says that has not heard of an end counts for less") {
-  const std::string heir = Heir();
-  const std::string other = Other(heir);
+  const std::string successor = SuccessorOfN0();
+  const std::string other = OtherThan(successor);
   Fleet fleet;
   const std::string job = BeginLasting(fleet, other, other);
-  fleet.Kill(heir);
+  fleet.Kill(successor);
   fleet.Run(seconds(20));  // nobody may take it for one that renews leases
-  bool silent = false;
+  bool watch_stalled = false;
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     if (node == "n0") {
       return StoreFault::kRefuse;
     }
-    return node == other && silent && WatchesMembers(it) ? StoreFault::kSilent
-                                                         : StoreFault::kNone;
+    return node == other && watch_stalled && WatchesMembers(it)
+               ? StoreFault::kSilent
+               : StoreFault::kNone;
   };
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.Run(milliseconds(1300));
-  silent = true;
-  const auto has_left = [&] {
+  watch_stalled = true;
+  const auto has_lapsed = [&] {
     return fleet.store.Keys(std::string(kMemberPrefix) + "n0").empty();
   };
-  REQUIRE(fleet.RunUntil(has_left, seconds(5)));
-  fleet.Start(heir);
+  REQUIRE(fleet.RunUntil(has_lapsed, seconds(5)));
+  fleet.Start(successor);
   fleet.Run(seconds(2));
-  silent = false;
+  watch_stalled = false;
   fleet.Run(seconds(5));
-  CHECK(CountGone(fleet, "w0-1") == 0);
+  CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
   CheckPromises(fleet);
 }
@@ -94,18 +95,21 @@
 // registers again, is the worker's owner again and renews the leases; the other
 // one, which has claimed nothing yet, holds on to what it was told while its
 // call is under way or its watch is late.
-void PlayReturn(Duration back, Duration late, Duration frozen) {
-  const std::string heir = Heir();
+void LoseAndRegainWorker(Duration return_after,
+                         Duration watch_delay,
+                         Duration freeze) {
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
-  const std::string job = BeginLasting(fleet, heir, heir);
+  const std::string job = BeginLasting(fleet, successor, successor);
   const Time begin = fleet.now();
-  bool silent = false;
+  bool watch_stalled = false;
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
-    if (node == "n0" && fleet.now() < begin + back) {
+    if (node == "n0" && fleet.now() < begin + return_after) {
       return StoreFault::kRefuse;
     }
-    return node == heir && silent && WatchesMembers(it) ? StoreFault::kSilent
-                                                        : StoreFault::kNone;
+    return node == successor && watch_stalled && WatchesMembers(it)
+               ? StoreFault::kSilent
+               : StoreFault::kNone;
   };
   fleet.order_fault = [&](const std::string& node, const std::string& worker,
                           const WorkerRequest&) {
@@ -115,34 +119,36 @@
     if (node != "n0") {
       return OrderFault::kUnreached;
     }
-    return fleet.now() < begin + back ? OrderFault::kLoseAnswer
-                                      : OrderFault::kNone;
+    return fleet.now() < begin + return_after ? OrderFault::kLoseAnswer
+                                              : OrderFault::kNone;
   };
-  if (late > Duration(0)) {
-    fleet.Run(back - milliseconds(1300));
-    silent = true;
-    fleet.Run(milliseconds(1300) + late);
-    silent = false;
+  if (watch_delay > Duration(0)) {
+    fleet.Run(return_after - milliseconds(1300));
+    watch_stalled = true;
+    fleet.Run(milliseconds(1300) + watch_delay);
+    watch_stalled = false;
   } else {
-    fleet.Run(back);
+    fleet.Run(return_after);
   }
-  if (frozen > Duration(0)) {
-    fleet.Freeze(heir, frozen);
+  if (freeze > Duration(0)) {
+    fleet.Freeze(successor, freeze);
   }
   fleet.Run(seconds(8));
-  INFO("back after " << ToMilliseconds(back) << " ms");
+  INFO("back after " << ToMilliseconds(return_after) << " ms");
   CheckPromises(fleet);
 }
 
 TEST_CASE("A member that has given a worker up and owns it again is seen") {
   for (int it = 0; it < 24; ++it) {
-    PlayReturn(milliseconds(5400 + 100 * it), Duration(0), Duration(0));
+    LoseAndRegainWorker(milliseconds(5400 + 100 * it), Duration(0),
+                        Duration(0));
   }
 }
 
 TEST_CASE("A member that owns a worker again is heard of late") {
   for (int it = 0; it < 12; ++it) {
-    PlayReturn(milliseconds(6000 + 100 * it), milliseconds(300), Duration(0));
+    LoseAndRegainWorker(milliseconds(6000 + 100 * it), milliseconds(300),
+                        Duration(0));
   }
 }
 
@@ -150,7 +156,8 @@
 // is short of processor time; a timer is served before it.
 TEST_CASE("A member that owns a worker again is heard of after a pause") {
   for (int it = 0; it < 12; ++it) {
-    PlayReturn(milliseconds(6000 + 100 * it), Duration(0), milliseconds(1600));
+    LoseAndRegainWorker(milliseconds(6000 + 100 * it), Duration(0),
+                        milliseconds(1600));
   }
 }
 
@@ -160,13 +167,13 @@
 // the worker gone when its own leases are over, though the list of members says
 // that the worker is another's by now.
 TEST_CASE("A worker that has another owner by now is not taken for gone") {
-  const std::string heir = Heir();
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
-  const std::string job = BeginLasting(fleet, heir, heir);
+  const std::string job = BeginLasting(fleet, successor, successor);
   fleet.Kill("n0");
   fleet.Run(seconds(5));
-  REQUIRE(fleet.state(heir).owned.at("w0-1").claimed);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  REQUIRE(fleet.state(successor).owned.at("w0-1").claimed);
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from != to && (from == "n0" || to == "n0");
   };
@@ -174,7 +181,7 @@
   fleet.Start("n0");
   fleet.Run(seconds(12));
   CHECK(fleet.state("n0").owned.at("w0-1").claimed);
-  CHECK(CountGone(fleet, "w0-1") == 0);
+  CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
   CheckPromises(fleet);
 }
@@ -187,7 +194,7 @@
 TEST_CASE("A lost worker that its new owner has never seen is found gone") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -210,7 +217,7 @@
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
     fleet.Run(milliseconds(250 * it));
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
     fleet.StopPlanned("n0");
     fleet.Run(
         milliseconds(1900));  // a call that is under way is still answered
@@ -229,7 +236,7 @@
 TEST_CASE("A worker that is lost for good with its owner is gone in time") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -247,7 +254,7 @@
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   const Time begin = fleet.now();
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     const bool grant = std::holds_alternative<StoreLeaseGrant>(it);
     return node == "n0" && grant && fleet.now() < begin + milliseconds(3500)
@@ -271,15 +278,15 @@
 // it had woken up, so longer than the others think: 8 tasks ran twice for a
 // second. The clock of the events counts a suspension, see the runtime's tests.
 TEST_CASE("A suspended member renews no longer than the others count on") {
-  const std::string heir = Heir();
+  const std::string successor = SuccessorOfN0();
   constexpr Duration kSuspended = milliseconds(4500);
   for (int it = 0; it < 8; ++it) {
     Fleet fleet;
-    const std::string job = BeginLasting(fleet, heir, heir);
+    const std::string job = BeginLasting(fleet, successor, successor);
     fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
       return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
     };
-    fleet.order_fault = UnreachedFor({"n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n1", "n2"});
     fleet.Run(milliseconds(250 * it));
     fleet.Freeze("n0", kSuspended);
     fleet.Run(seconds(26));
@@ -294,7 +301,7 @@
   for (const bool all_back : {true, false}) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
     for (const std::string& it : fleet.nodes()) {
       fleet.Kill(it);
     }
@@ -322,30 +329,30 @@
 // that runs there die together, that word ends the recovery of the job while
 // its tasks run, and the others never use the worker again.
 TEST_CASE("A worker that comes back after it was found gone counts again") {
-  const std::string heir = Heir();
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Run(seconds(4));
   fleet.store.Remove("worker/w0-1");
-  REQUIRE(fleet.RunUntil([&] { return CountGone(fleet, "w0-1") == 1; },
+  REQUIRE(fleet.RunUntil([&] { return CountLost(fleet, "w0-1") == 1; },
                          seconds(12)));
-  fleet.order_fault = UnreachedFor({});
+  fleet.order_fault = UnreachableFrom({});
   fleet.Start("n0");
   fleet.Run(milliseconds(500));
   fleet.store.Put("worker/w0-1", kEntryOfW0);
   fleet.Run(seconds(2));
   REQUIRE(fleet.state("n0").owned.at("w0-1").claimed);
-  CHECK(fleet.state(heir).view.at("w0-1").accepting);
-  CHECK_FALSE(fleet.state(heir).view.at("w0-1").gone);
+  CHECK(fleet.state(successor).view.at("w0-1").accepting);
+  CHECK_FALSE(fleet.state(successor).view.at("w0-1").gone);
   const std::string job = "j1";
   fleet.Submit("n0", job, Lasting(kLastingTasks));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == kLastingTasks);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.Kill("n0");
   fleet.Run(seconds(8));
   CheckPromises(fleet);
@@ -390,14 +397,14 @@
   const std::string job = "j1";
   fleet.Tell("n0", "n1-1", AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
   fleet.Run(seconds(3));
-  const Time asked = fleet.now();
+  const Time queried_at = fleet.now();
   fleet.Tell("n0", "n2-1",
              TaskStops{.stops = {{.task = job + ".0.0.0",
                                   .run = 1,
                                   .worker = "w0-1",
                                   .generation = 3}}});
   fleet.Tell("n0", "n2-1", AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
-  CHECK(fleet.state("n0").known.at(job).adopted >= asked);
+  CHECK(fleet.state("n0").known.at(job).adopted >= queried_at);
 }
 
 }  // namespace
