--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -181,12 +181,12 @@
   job.watchers.push_back(std::move(waiter));
 }
 
-void BeginCancel(Context& context, Job& job, Asker canceller) {
+void BeginCancel(Context& context, Job& job, Asker waiter) {
   if (IsFinal(job.stored_state)) {
-    return AnswerCancel(context, canceller, job.stored_state);
+    return AnswerCancel(context, waiter, job.stored_state);
   }
-  canceller.until = QueryDeadline(context);
-  job.cancellers.push_back(std::move(canceller));
+  waiter.until = QueryDeadline(context);
+  job.cancellers.push_back(std::move(waiter));
   if (!job.stored) {
     job.cancel_wanted = true;
     return;
@@ -344,7 +344,7 @@
 }
 
 // The cancel goes on; a member that asked for its caller gives up by itself.
-void TimeOutCancellers(Context& context, Job& job) {
+void TimeOutCancelWaiters(Context& context, Job& job) {
   std::erase_if(job.cancellers, [&](const Asker& it) {
     const bool due = context.now >= it.until;
     if (due && it.member.empty()) {
@@ -356,7 +356,7 @@
   });
 }
 
-void TimeOutSubmitters(Context& context, Job& job) {
+void TimeOutSubmitWaiters(Context& context, Job& job) {
   for (const std::uint64_t it : std::exchange(job.submitters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
     Answer(context, it, NotKnown{.detail = "the store has not answered"});
@@ -364,7 +364,7 @@
 }
 
 // Submissions that the store has not answered.
-void DriveSubmitters(Context& context) {
+void DriveSubmitWaiters(Context& context) {
   const bool store_usable =
       context.state.store.healthy && IsRegistered(context.state);
   const bool stop_is_due =
@@ -384,16 +384,16 @@
       withdrawn.push_back(id);
     } else if (stop_is_due ||
                HasPassed(context.now, job.created, kSubmitPatience)) {
-      TimeOutSubmitters(context, job);
+      TimeOutSubmitWaiters(context, job);
     }
   }
   for (const std::string& it : withdrawn) {
     Job& job = context.state.jobs.at(it);
     AnswerWatchers(context, job, true);
-    const std::vector<Asker> cancellers = std::move(job.cancellers);
+    const std::vector<Asker> waiters = std::move(job.cancellers);
     context.state.active.erase(it);
     context.state.jobs.erase(it);
-    RouteCancellers(context, it, cancellers);
+    RouteCancellers(context, it, waiters);
   }
 }
 
@@ -515,17 +515,17 @@
   for (const std::string& it : context.state.active) {
     Job& job = context.state.jobs.at(it);
     AnswerWatchers(context, job, false);
-    TimeOutCancellers(context, job);
+    TimeOutCancelWaiters(context, job);
   }
-  DriveSubmitters(context);
+  DriveSubmitWaiters(context);
 }
 
-void AnswerCancel(Context& context, const Asker& canceller, JobState state) {
-  if (canceller.member.empty()) {
-    return Answer(context, canceller.call, CancelTaken{.state = state});
+void AnswerCancel(Context& context, const Asker& waiter, JobState state) {
+  if (waiter.member.empty()) {
+    return Answer(context, waiter.call, CancelTaken{.state = state});
   }
-  Reply(context, canceller.member,
-        JobReply{.call = canceller.call, .known = true, .state = state});
+  Reply(context, waiter.member,
+        JobReply{.call = waiter.call, .known = true, .state = state});
 }
 
 void AnswerWatchers(Context& context, Job& job, bool all) {
@@ -540,8 +540,8 @@
 
 void RouteCancellers(Context& context,
                      const std::string& job,
-                     const std::vector<Asker>& cancellers) {
-  for (const Asker& it : cancellers) {
+                     const std::vector<Asker>& waiters) {
+  for (const Asker& it : waiters) {
     if (it.member.empty()) {
       OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
     } else {
