--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -179,11 +179,11 @@
   for (const std::uint64_t it : std::exchange(job->submitters, {})) {
     context.Emit(AnswerCaller{.call = it, .answer = JobAccepted{}});
   }
-  AnswerWatchers(context, *job, true);
+  AnswerStatusWaiters(context, *job, true);
   const std::vector<Asker> cancellers = std::move(job->cancellers);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RouteCancellers(context, id, cancellers);
+  RedirectCancelWaiters(context, id, cancellers);
 }
 
 void OnSaved(Context& context,
@@ -205,7 +205,7 @@
   if (!IsFinal(job->stored_state)) {
     return;
   }
-  AnswerWatchers(context, *job, true);
+  AnswerStatusWaiters(context, *job, true);
   if (!job->cancellers.empty()) {
     NoteCancelAcknowledged(context, *job);
   }
@@ -259,11 +259,11 @@
               {{"job", id},
                {"generation", std::to_string(job->generation)},
                {"cause", cause}});
-  AnswerWatchers(context, *job, true);
+  AnswerStatusWaiters(context, *job, true);
   const std::vector<Asker> cancellers = std::move(job->cancellers);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RouteCancellers(context, id, cancellers);
+  RedirectCancelWaiters(context, id, cancellers);
 }
 
 void ConfirmWhenStored(Context& context,
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -511,7 +511,7 @@
 }
 
 void OnWorkerLost(Context& context, const std::string& worker) {
-  OnWorkerEnded(context, worker);
+  OnWorkerCleared(context, worker);
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
     ForEachTask(job, [&](const TaskName& name, Task& task) {
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -389,11 +389,11 @@
   }
   for (const std::string& it : withdrawn) {
     Job& job = context.state.jobs.at(it);
-    AnswerWatchers(context, job, true);
+    AnswerStatusWaiters(context, job, true);
     const std::vector<Asker> waiters = std::move(job.cancellers);
     context.state.active.erase(it);
     context.state.jobs.erase(it);
-    RouteCancellers(context, it, waiters);
+    RedirectCancelWaiters(context, it, waiters);
   }
 }
 
@@ -426,7 +426,7 @@
 
 }  // namespace
 
-void OnCallerAsked(Context& context, const CallerAsked& event) {
+void OnCallerRequest(Context& context, const CallerAsked& event) {
   const CallerRequest& request = event.request;
   if (context.state.configuration.version == 0) {
     return Refuse(context, event.call, request.path + request.job,
@@ -487,7 +487,7 @@
   context.state.callers.erase(it);
 }
 
-void OnRecordKnown(Context& context, const std::string& job) {
+void OnRecordRead(Context& context, const std::string& job) {
   std::vector<std::uint64_t> answered;
   for (auto& [id, caller] : context.state.callers) {
     if (caller.job == job && TryAnswer(context, id, caller)) {
@@ -514,7 +514,7 @@
   }
   for (const std::string& it : context.state.active) {
     Job& job = context.state.jobs.at(it);
-    AnswerWatchers(context, job, false);
+    AnswerStatusWaiters(context, job, false);
     TimeOutCancelWaiters(context, job);
   }
   DriveSubmitWaiters(context);
@@ -528,7 +528,7 @@
         JobReply{.call = waiter.call, .known = true, .state = state});
 }
 
-void AnswerWatchers(Context& context, Job& job, bool all) {
+void AnswerStatusWaiters(Context& context, Job& job, bool all) {
   std::erase_if(job.watchers, [&](const Asker& it) {
     const bool due = all || context.now >= it.until;
     if (due) {
@@ -538,9 +538,9 @@
   });
 }
 
-void RouteCancellers(Context& context,
-                     const std::string& job,
-                     const std::vector<Asker>& waiters) {
+void RedirectCancelWaiters(Context& context,
+                           const std::string& job,
+                           const std::vector<Asker>& waiters) {
   for (const Asker& it : waiters) {
     if (it.member.empty()) {
       OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
@@ -551,7 +551,7 @@
 }
 
 OpenRequests CountOpenRequests(const State& state) {
-  OpenRequests open{.questions = state.callers.size()};
+  OpenRequests open{.queries = state.callers.size()};
   for (const auto& [id, job] : state.jobs) {
     open.submissions += job.submitters.size();
     open.cancels += job.cancellers.size();
@@ -560,11 +560,11 @@
   return open;
 }
 
-void HandOverAskers(Context& context) {
+void HandOverPendingCallers(Context& context) {
   for (auto& [id, job] : context.state.jobs) {
-    AnswerWatchers(context, job, true);
+    AnswerStatusWaiters(context, job, true);
     if (!IsFinal(job.stored_state)) {
-      RouteCancellers(context, id, std::exchange(job.cancellers, {}));
+      RedirectCancelWaiters(context, id, std::exchange(job.cancellers, {}));
     }
   }
 }
--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/questions.h
@@ -12,14 +12,14 @@
 
 namespace burdockrock::engine {
 
-void OnCallerAsked(Context& context, const CallerAsked& event);
+void OnCallerRequest(Context& context, const CallerAsked& event);
 void OnJobQuery(Context& context,
                 const std::string& from,
                 const JobQuery& query);
 void OnJobReply(Context& context, const JobReply& reply);
 
 // The store has told of the job: those who wait for it can go on.
-void OnRecordKnown(Context& context, const std::string& job);
+void OnRecordRead(Context& context, const std::string& job);
 
 // Gives up and asks again, as due.
 void DriveCallers(Context& context);
@@ -28,20 +28,20 @@
 
 // Tells the job's state to those who wait for news of it: all, or those whose
 // patience is over.
-void AnswerWatchers(Context& context, Job& job, bool all);
+void AnswerStatusWaiters(Context& context, Job& job, bool all);
 
 // The job is another instance's now: whoever waits for its cancel asks there.
-void RouteCancellers(Context& context,
-                     const std::string& job,
-                     const std::vector<Asker>& waiters);
+void RedirectCancelWaiters(Context& context,
+                           const std::string& job,
+                           const std::vector<Asker>& waiters);
 
 // This instance owns its jobs no longer: who waits for a cancel asks whoever
 // adopts the job, and who waits for news of one is told what is known.
-void HandOverAskers(Context& context);
+void HandOverPendingCallers(Context& context);
 
 // Callers' requests, and members' for callers of theirs, without an answer.
 struct OpenRequests {
-  std::size_t questions = 0;  // whose job is another member's, or not known
+  std::size_t queries = 0;  // whose job is another member's, or not known
   std::size_t submissions = 0;
   std::size_t cancels = 0;
   std::size_t states = 0;
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -312,7 +312,7 @@
   }
 }
 
-void OnWorkerFound(Context& context, const std::string& worker) {
+void OnWorkerListed(Context& context, const std::string& worker) {
   if (!MayRunTasks(context.state, worker)) {
     return;
   }
@@ -324,7 +324,7 @@
   }
 }
 
-void OnWorkerEnded(Context& context, const std::string& worker) {
+void OnWorkerCleared(Context& context, const std::string& worker) {
   const auto number = context.state.recovery.numbers.Find(worker);
   if (!number) {
     return;
--- a/Source/engine/jobs/recovery.h
+++ b/Source/engine/jobs/recovery.h
@@ -19,10 +19,10 @@
                    const AdoptReport& report);
 
 // A worker was listed that an adopted job's runs may be on.
-void OnWorkerFound(Context& context, const std::string& worker);
+void OnWorkerListed(Context& context, const std::string& worker);
 
 // Nothing runs there any more.
-void OnWorkerEnded(Context& context, const std::string& worker);
+void OnWorkerCleared(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -111,9 +111,9 @@
       {.from = to, .task = query.task, .run = query.run, .came = context.now});
 }
 
-void AnswerQuestions(Context& context,
-                     const std::string& id,
-                     OwnedWorker& worker) {
+void AnswerRunQueries(Context& context,
+                      const std::string& id,
+                      OwnedWorker& worker) {
   std::vector<OpenQuestion> open;
   for (const OpenQuestion& it : std::exchange(worker.questions, {})) {
     if (it.came > worker.proven) {
--- a/Source/engine/jobs/run_questions.h
+++ b/Source/engine/jobs/run_questions.h
@@ -20,9 +20,9 @@
 void ReportRun(Context& context, const std::string& to, const RunQuery& query);
 
 // The worker is surely owned now: questions that came before are answered.
-void AnswerQuestions(Context& context,
-                     const std::string& id,
-                     OwnedWorker& worker);
+void AnswerRunQueries(Context& context,
+                      const std::string& id,
+                      OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -37,7 +37,7 @@
               EventNumber number,
               std::vector<LogField> fields) {
   const OpenRequests open = CountOpenRequests(context.state);
-  fields.push_back({"questions", std::to_string(open.questions)});
+  fields.push_back({"questions", std::to_string(open.queries)});
   fields.push_back({"submissions", std::to_string(open.submissions)});
   fields.push_back({"cancels", std::to_string(open.cancels)});
   fields.push_back({"states", std::to_string(open.states)});
@@ -76,7 +76,7 @@
     LogStage(context, EventNumber::kHandedOver,
              {{"jobs", std::to_string(context.state.active.size())}});
     Deregister(context);
-    HandOverAskers(context);
+    HandOverPendingCallers(context);
     stop.since = context.now;
     return;
   }
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -188,7 +188,7 @@
   }
   entry.known_from = entry.read_at;
   TellKnown(context, job, entry);
-  OnRecordKnown(context, job);
+  OnRecordRead(context, job);
 }
 
 void OnSpecRead(Context& context,
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -112,7 +112,7 @@
     context.state.members.last_contact = context.now;
   }
   void operator()(const TimePassed&) {}
-  void operator()(const CallerAsked& it) { OnCallerAsked(context, it); }
+  void operator()(const CallerAsked& it) { OnCallerRequest(context, it); }
   void operator()(const StoreAnswered& it) {
     if (auto purpose = TakeStoreCall(context, it)) {
       std::visit(PurposeVisitor{context, it.answer}, *purpose);
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -58,7 +58,7 @@
     RoomChanged(context, id);
   }
   context.state.placement_due = true;
-  OnWorkerFound(context, id);
+  OnWorkerListed(context, id);
   ReviewOwnership(context);
 }
 
@@ -137,7 +137,7 @@
                               .service = it.service},
                      .listed = false,
                      .unlisted_at = context.now};
-    OnWorkerFound(context, it.worker);
+    OnWorkerListed(context, it.worker);
     changed = true;
   }
   if (changed) {
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -197,7 +197,7 @@
   const bool renew_now = claimed_now || was_silent;
   worker.hold_at = context.now + (renew_now ? Duration(0) : kHoldPause);
   ApplyListing(context, id, worker, done, asked);
-  AnswerQuestions(context, id, worker);
+  AnswerRunQueries(context, id, worker);
   if (renew_now) {
     RoomChanged(context, id);
   }
@@ -208,7 +208,7 @@
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
     worker.proven = std::max(worker.proven, event.asked);
     ApplyListing(context, event.worker, worker, *done, event.asked);
-    AnswerQuestions(context, event.worker, worker);
+    AnswerRunQueries(context, event.worker, worker);
     return;
   }
   const WorkerRefusalKind kind = std::get<WorkerRefused>(event.answer).kind;
