--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/caller_requests.cc
@@ -1,4 +1,4 @@
-#include "engine/jobs/questions.h"
+#include "engine/jobs/caller_requests.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/caller_requests.h
@@ -1,6 +1,6 @@
 // Callers' requests: submissions, states, cancels, lengths of queues.
-#ifndef BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
-#define BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
+#ifndef BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
+#define BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
 
 #include <compare>
 #include <cstddef>
@@ -56,4 +56,4 @@
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
+#endif  // BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -3,8 +3,8 @@
 #include <map>
 #include <utility>
 
+#include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_table.h"
-#include "engine/jobs/questions.h"
 #include "engine/notices.h"
 #include "engine/records/record_writer.h"
 
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_queries.cc
@@ -1,4 +1,4 @@
-#include "engine/jobs/run_questions.h"
+#include "engine/jobs/run_queries.h"
 
 #include <algorithm>
 #include <set>
--- a/Source/engine/jobs/run_questions.h
+++ b/Source/engine/jobs/run_queries.h
@@ -1,6 +1,6 @@
 // Questions of the owners of jobs about runs on own workers.
-#ifndef BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
-#define BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
+#ifndef BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
+#define BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
 
 #include <string>
 
@@ -26,4 +26,4 @@
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
+#endif  // BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -5,9 +5,9 @@
 
 #include "engine/advice/advice_callers.h"
 #include "engine/advice/advice_turns.h"
+#include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/preemption.h"
-#include "engine/jobs/questions.h"
 #include "engine/members/membership.h"
 #include "engine/workers/worker_owner.h"
 
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "engine/jobs/questions.h"
+#include "engine/jobs/caller_requests.h"
 #include "engine/members/membership.h"
 
 namespace burdockrock::engine {
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -1,6 +1,6 @@
 #include "engine/records/catalog.h"
 
-#include "engine/jobs/questions.h"
+#include "engine/jobs/caller_requests.h"
 #include "engine/records/store_calls.h"
 #include "engine/workers/worker_listing.h"
 #include "engine/workers/worker_runs.h"
--- a/Source/engine/workers/pools.cc
+++ b/Source/engine/workers/pools.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
+#include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_runs.h"
-#include "engine/jobs/questions.h"
 
 namespace burdockrock::engine {
 
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -6,7 +6,7 @@
 
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/preemption.h"
-#include "engine/jobs/run_questions.h"
+#include "engine/jobs/run_queries.h"
 #include "engine/members/membership.h"
 #include "engine/records/watches.h"
 #include "engine/workers/lease_bounds.h"
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "engine/jobs/preemption.h"
-#include "engine/jobs/run_questions.h"
+#include "engine/jobs/run_queries.h"
 #include "engine/members/digests.h"
 #include "engine/records/catalog.h"
 #include "engine/workers/worker_list.h"
