--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/caller_requests.h
@@ -1,7 +1,7 @@
 // Handles callers' requests: submissions, state queries, cancels and queue
 // lengths.
-#ifndef BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
-#define BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
+#ifndef BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
+#define BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
 
 #include <compare>
 #include <cstddef>
@@ -14,7 +14,7 @@
 namespace burdockrock::engine {
 
 // Answers the request, or keeps it until the store or the job's owner replies.
-void OnCallerAsked(Context& context, const CallerAsked& asked);
+void OnCallerRequest(Context& context, const CallerAsked& event);
 
 // Answers another member's state query or cancel of a job owned here.
 void OnJobQuery(Context& context,
@@ -26,34 +26,34 @@
 
 // The job's record was read from the store: continues the queries that wait for
 // it.
-void OnRecordKnown(Context& context, const std::string& job);
+void OnRecordRead(Context& context, const std::string& job);
 
 // Retries pending queries and times out requests, as due.
 void DriveCallers(Context& context);
 
 // Reports the job's state to a waiter of its cancel: a caller here, or the
 // member that forwarded the cancel.
-void AnswerCancel(Context& context, const Asker& canceller, JobState state);
+void AnswerCancel(Context& context, const Asker& waiter, JobState state);
 
 // Reports the job's state to the callers that wait for it: to all, or to those
 // whose timeout is over.
-void AnswerWatchers(Context& context, Job& job, bool all);
+void AnswerStatusWaiters(Context& context, Job& job, bool all);
 
 // The job has another owner now: queries that owner for the callers that wait
 // for its cancel, and lets members that forwarded a cancel do the same.
-void RouteCancellers(Context& context,
-                     const std::string& job,
-                     const std::vector<Asker>& cancellers);
+void RedirectCancelWaiters(Context& context,
+                           const std::string& job,
+                           const std::vector<Asker>& waiters);
 
 // This instance has released its jobs: pending cancels are sent to the instance
 // that adopts the job, and pending state queries are answered with the known
 // state.
-void HandOverAskers(Context& context);
+void HandOverPendingCallers(Context& context);
 
 // Counts of unanswered requests, of callers here and of other members on behalf
 // of their callers.
 struct OpenRequests {
-  std::size_t questions = 0;  // for jobs of other or unknown owners
+  std::size_t queries = 0;  // for jobs of other or unknown owners
   std::size_t submissions = 0;
   std::size_t cancels = 0;
   std::size_t states = 0;
@@ -68,4 +68,4 @@
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_JOBS_QUESTIONS_H_
+#endif  // BURDOCKROCK_ENGINE_JOBS_CALLER_REQUESTS_H_
--- a/Source/engine/jobs/recovery.h
+++ b/Source/engine/jobs/recovery.h
@@ -23,10 +23,10 @@
                    const AdoptReport& report);
 
 // A worker was listed or reported that may run tasks of recovering jobs.
-void OnWorkerFound(Context& context, const std::string& worker);
+void OnWorkerListed(Context& context, const std::string& worker);
 
 // Nothing runs at the worker any more: recovery doesn't wait for it.
-void OnWorkerEnded(Context& context, const std::string& worker);
+void OnWorkerCleared(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/jobs/run_questions.h
+++ b/Source/engine/jobs/run_queries.h
@@ -1,6 +1,6 @@
 // Answers queries of job owners about runs at this instance's workers.
-#ifndef BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
-#define BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
+#ifndef BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
+#define BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
 
 #include <string>
 
@@ -26,10 +26,10 @@
 
 // The ownership of the worker was proven: answers the queries that arrived
 // before the proof.
-void AnswerQuestions(Context& context,
-                     const std::string& id,
-                     OwnedWorker& worker);
+void AnswerRunQueries(Context& context,
+                      const std::string& id,
+                      OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_JOBS_RUN_QUESTIONS_H_
+#endif  // BURDOCKROCK_ENGINE_JOBS_RUN_QUERIES_H_
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -17,7 +17,7 @@
 // acknowledged.
 constexpr Duration kCancelBound = milliseconds(3400);
 
-bool IsGone(const Fleet& fleet, const std::string& job) {
+bool HaveAllRunsEnded(const Fleet& fleet, const std::string& job) {
   return std::none_of(
       fleet.seen.begin(), fleet.seen.end(), [&](const SeenRun& it) {
         return it.task.starts_with(job + ".") && it.ended == kForever;
@@ -50,7 +50,7 @@
   return adopter;
 }
 
-void LoseWorkerOrders(Fleet& fleet, const std::string& worker) {
+void DropWorkerCommands(Fleet& fleet, const std::string& worker) {
   fleet.order_fault = [worker](const std::string&, const std::string& to,
                                const WorkerRequest&) {
     return to == worker ? OrderFault::kUnreached : OrderFault::kNone;
@@ -61,13 +61,13 @@
 void StartAt(Fleet& fleet, const std::string& worker, const std::string& task) {
   const std::string owner = OwnerAt(fleet, worker);
   REQUIRE_FALSE(owner.empty());
-  const OwnedWorker& held = fleet.state(owner).owned.at(worker + "-1");
+  const OwnedWorker& owned = fleet.state(owner).owned.at(worker + "-1");
   fleet.worker(worker).Handle(fleet.now(),
                               StartRun{.task = task,
                                        .run = 1,
                                        .payload = "p",
-                                       .fence = held.fence,
-                                       .lease_until_ms = held.lease_until_ms});
+                                       .fence = owned.fence,
+                                       .lease_until_ms = owned.lease_until_ms});
 }
 
 // Starts a job at n0 whose 36 tasks run until they are stopped.
@@ -92,7 +92,7 @@
   CancelNow(fleet, "n0", "j1");
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
   CHECK(CountRuns(fleet, "j1") == 36);
 }
 
@@ -107,7 +107,7 @@
   };
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(6));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against a lost stop command that is not repeated. An adopted job waits
@@ -118,7 +118,7 @@
 TEST_CASE("A stop that is lost during the adoption of a job is repeated") {
   Fleet fleet;
   BeginEndless(fleet);
-  LoseWorkerOrders(fleet, "w0");
+  DropWorkerCommands(fleet, "w0");
   fleet.Kill("n0");
   const std::string adopter = AwaitAdoption(fleet, "j1");
   fleet.Run(seconds(2));
@@ -132,8 +132,8 @@
   fleet.Run(cancelled + kCancelBound - fleet.now());
   for (const SeenRun& it : fleet.seen) {
     INFO(it.task << " on " << it.worker);
-    const bool gone = it.ended != kForever || it.worker == "w0-1";
-    CHECK(gone);
+    const bool ended_or_lost = it.ended != kForever || it.worker == "w0-1";
+    CHECK(ended_or_lost);
   }
 }
 
@@ -148,13 +148,13 @@
   spec.steps.front().concurrent = true;
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
-  const std::string still = fleet.seen.back().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(60));
+  const std::string stalled = fleet.seen.back().worker.substr(0, 2);
+  fleet.worker(stalled).StandStill(fleet.now(), fleet.now() + seconds(60));
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") > 4; }, seconds(8)));
   fleet.Run(milliseconds(200));
   // The adopter waits long for this worker, as it can't be reached.
-  LoseWorkerOrders(fleet, "w5");
+  DropWorkerCommands(fleet, "w5");
   fleet.Kill("n0");
   const std::string adopter = AwaitAdoption(fleet, "j1");
   fleet.Run(seconds(2));
@@ -197,7 +197,7 @@
   CheckPromises(fleet);
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(1));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against a start command without an answer that takes effect 3 s later,
@@ -217,7 +217,7 @@
   fleet.Run(milliseconds(500));
   fleet.Kill("n0");
   fleet.Run(seconds(9));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against a run that is started after its stop. The stop command
@@ -253,7 +253,7 @@
   PlanAll(fleet, {.endless = true});
   StartAt(fleet, "w0", "j1.0.0.0");
   fleet.Run(seconds(3));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against a run of an ended job that goes on while the store can't be
@@ -265,14 +265,14 @@
   PlanAll(fleet, {.endless = true});
   StartAt(fleet, "w0", "j1.0.0.0");
   fleet.Run(seconds(3));
-  REQUIRE(IsGone(fleet, "j1"));
+  REQUIRE(HaveAllRunsEnded(fleet, "j1"));
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kRefuse;
   };
   StartAt(fleet, "w0", "j1.0.0.1");
-  REQUIRE_FALSE(IsGone(fleet, "j1"));
+  REQUIRE_FALSE(HaveAllRunsEnded(fleet, "j1"));
   fleet.Run(seconds(3));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against stopping wanted runs. While the store can't be read, no
@@ -296,7 +296,7 @@
   fleet.Kill("n1");
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(4));
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 36);
 }
 
@@ -311,7 +311,7 @@
     fleet.Freeze("n1", milliseconds(900));
     fleet.Run(milliseconds(950));
   }
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against stop commands that queue behind other events. With an eighth
@@ -330,7 +330,7 @@
   fleet.Run(seconds(1));
   fleet.Slow("n1", milliseconds(15));
   int others = 0;
-  const auto go_on = [&](Duration span) {
+  const auto submit_others = [&](Duration span) {
     for (const Time until = fleet.now() + span; fleet.now() < until;) {
       const std::string n = std::to_string(others);
       fleet.Submit("n" + std::to_string(others % 3), "other" + n, OneStep(2));
@@ -338,12 +338,12 @@
       fleet.Run(milliseconds(50));
     }
   };
-  go_on(seconds(20));
+  submit_others(seconds(20));
   const std::uint64_t call = fleet.Cancel("n0", "j1");
-  go_on(milliseconds(50));
+  submit_others(milliseconds(50));
   REQUIRE(fleet.answers.contains(call));
-  go_on(kCancelBound - milliseconds(50));
-  CHECK(IsGone(fleet, "j1"));
+  submit_others(kCancelBound - milliseconds(50));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against pending callers that never get an answer. A job is cancelled
@@ -389,7 +389,7 @@
              JobReply{.call = 1, .known = true, .state = JobState::kCancelled});
   fleet.Run(milliseconds(500));
   CHECK_FALSE(fleet.answers.contains(call));
-  CHECK_FALSE(IsGone(fleet, "j1"));
+  CHECK_FALSE(HaveAllRunsEnded(fleet, "j1"));
 }
 
 // Guards against one message for each stopped task: 24 messages at once to one
@@ -430,7 +430,7 @@
   fleet.Run(seconds(3));
   CancelNow(fleet, "n0", "j1");
   fleet.Run(kCancelBound);
-  CHECK(IsGone(fleet, "j1"));
+  CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
 }  // namespace burdockrock::engine
