--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -93,7 +93,7 @@
 // One round of queries for all recovering jobs.
 struct QueryRound {
   bool all = false;       // queries every member
-  bool unseen = false;    // asks for workers that were never seen
+  bool unseen = false;    // requests workers that were never seen
   WorkerSet uncovered{};  // of any job in the round
   std::map<std::string, AdoptQuery> queries{};
   // Results of ClaimedOwner, by worker number.
@@ -292,7 +292,7 @@
                    const AdoptReport& report) {
   // Processed before the covered workers: reporting a worker doesn't cover it.
   OnWorkersRemembered(context, report.remembered);
-  // Each query since the registration has asked for them, if needed.
+  // Each query since the registration has requested them, if needed.
   UnseenWorkers& unseen = UnseenNow(context);
   unseen.told_by.insert(from);
   unseen.all_told = unseen.all_told || report.all_remembered;
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -256,7 +256,7 @@
   CHECK(HaveAllRunsEnded(fleet, "j1"));
 }
 
-// Guards against a run of an ended job that goes on while the store can't be
+// Guards against a run of an ended job that continues while the store can't be
 // reached. The job was known to have ended, but its record was read again
 // before the run was stopped.
 TEST_CASE("Runs of a job that is known to have ended stop without the store") {
