--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -33,7 +33,9 @@
                    .job = std::string(key.substr(slash + 1))};
 }
 
-void ReadScan(Context& context, const std::string& prefix, OrphanScan& scan) {
+void ReadScanPage(Context& context,
+                  const std::string& prefix,
+                  OrphanScan& scan) {
   scan.in_flight = true;
   AskStore(context, StoreRange{.prefix = prefix, .after = scan.after},
            ForOrphans{.prefix = prefix});
@@ -43,7 +45,7 @@
   OrphanScan& scan = context.state.scans[prefix];
   if (!scan.in_flight) {
     scan.after.clear();
-    ReadScan(context, prefix, scan);
+    ReadScanPage(context, prefix, scan);
   }
 }
 
@@ -73,9 +75,9 @@
   if (entry.reading_record || entry.want_record) {
     return OrphanStep::kWait;
   }
-  const bool gone =
+  const bool is_over =
       entry.absent || (entry.record && IsFinal(entry.record->state));
-  if (gone) {
+  if (is_over) {
     return OrphanStep::kForget;
   }
   if (!entry.record || !entry.spec) {
@@ -104,8 +106,8 @@
       Change{
           .kind = ChangeKind::kAdoptJob,
           .job = id,
-          // The former owner may be back, which this instance learns later
-          // than the store does.
+          // Fails if the former owner has registered again, which the store
+          // knows before this instance does.
           .conditions = {{.key = JobKey(id), .revision = entry.record_revision},
                          {.key = MemberKey(entry.record->owner),
                           .revision = 0}},
@@ -154,8 +156,8 @@
   job.created = context.now;
   job.stored = true;
   for (std::uint32_t k = 0; k < job.occurrences.size(); ++k) {
-    // Also of occurrences that the record does not know: they may have begun
-    // after it was written.
+    // Includes occurrences that the record lacks: they may have begun after it
+    // was written.
     for (std::uint32_t s = 0; s < job.spec.steps.size(); ++s) {
       const auto it = std::find_if(
           record.occurrences.begin(), record.occurrences.end(),
@@ -191,7 +193,7 @@
   }
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    // The regular scan comes to it again.
+    // A scan of all orphans repeats it after the retry delay.
     context.state.scans.erase(it);
     context.state.scanned_at = context.now - kOrphanScan + kStoreRetry;
     return;
@@ -203,7 +205,7 @@
   }
   if (page->more && !page->items.empty()) {
     it->second.after = page->items.back().key;
-    ReadScan(context, prefix, it->second);
+    ReadScanPage(context, prefix, it->second);
   } else {
     context.state.scans.erase(it);
   }
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/caller_requests.cc
@@ -1,4 +1,4 @@
-#include "engine/jobs/questions.h"
+#include "engine/jobs/caller_requests.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Longer ids would not fit into the keys of the store.
+// Longer ids don't fit into the keys of the store.
 constexpr std::size_t kMaxJobIdBytes = 64;
-// An outage of the store that has begun lasts longer than this as a rule, and
-// another entry instance may still reach it.
+// Sent with refusals. A store outage usually lasts longer, but another entry
+// instance may still reach the store.
 constexpr Duration kRetryAfter = milliseconds(1000);
 
 void Answer(Context& context, std::uint64_t call, CallerAnswer answer) {
@@ -47,28 +47,29 @@
          });
 }
 
-// A task that fits on no worker of the service, even an empty one.
+// Finds a task that fits on no worker of the service, even an empty one.
 std::optional<SpecFault> CheckSizes(const State& state,
                                     const JobSpec& spec,
                                     const std::string& service) {
-  Resources most;
+  Resources largest;
   for (const auto& [id, it] : state.workers) {
     if (it.info.service == service) {
-      const Resources& has = it.info.capacity;
-      most.processors_milli =
-          std::max(most.processors_milli, has.processors_milli);
-      most.memory_mb = std::max(most.memory_mb, has.memory_mb);
-      most.accelerators = std::max(most.accelerators, has.accelerators);
+      const Resources& capacity = it.info.capacity;
+      largest.processors_milli =
+          std::max(largest.processors_milli, capacity.processors_milli);
+      largest.memory_mb = std::max(largest.memory_mb, capacity.memory_mb);
+      largest.accelerators =
+          std::max(largest.accelerators, capacity.accelerators);
     }
   }
-  if (most == Resources()) {
+  if (largest == Resources()) {
     return std::nullopt;
   }
   for (std::size_t it = 0; it < spec.steps.size(); ++it) {
-    const Resources room = RoomOf(spec.steps[it]);
-    if (!Fits(room, most)) {
+    const Resources needed = RoomOf(spec.steps[it]);
+    if (!Fits(needed, largest)) {
       return SpecFault{.path = fmt::format("steps[{}]", it),
-                       .problem = DescribeMisfit(room, most),
+                       .problem = DescribeMisfit(needed, largest),
                        .allowed = "what the largest worker has"};
     }
   }
@@ -121,8 +122,8 @@
   Create(context, call, id, queue, std::move(spec));
 }
 
-// Null also for a job that this instance has given up with its registration,
-// unless it had ended by then.
+// Returns null also for a job that this instance has released with its
+// registration, unless the job's end was stored by then.
 Job* FindHeldJob(State& state, const std::string& id) {
   Job* job = FindJob(state, id);
   const bool held =
@@ -130,9 +131,10 @@
   return held ? job : nullptr;
 }
 
-// When a question that comes now is given up: in time for the caller, before
-// the process may be killed, and never at once.
-Time QuestionDeadline(const Context& context) {
+// When a query that arrives now times out: while the caller still waits, before
+// the process may be killed during a planned stop, and not before a peer could
+// reply.
+Time QueryDeadline(const Context& context) {
   const Time usual = context.now + kQuestionPatience;
   if (!context.state.stop.asked) {
     return usual;
@@ -141,16 +143,17 @@
       usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
 }
 
-void TellState(Context& context, const Asker& asker, const Job& job) {
+void ReportState(Context& context, const Asker& waiter, const Job& job) {
   const JobState state = ShownState(job);
-  if (asker.member.empty()) {
-    return Answer(context, asker.call, JobShown{.state = state});
+  if (waiter.member.empty()) {
+    return Answer(context, waiter.call, JobShown{.state = state});
   }
-  Reply(context, asker.member,
-        JobReply{.call = asker.call, .known = true, .state = state});
+  Reply(context, waiter.member,
+        JobReply{.call = waiter.call, .known = true, .state = state});
 }
 
-// All that is left of the job runs, so that it may have ended by now.
+// Whether all unfinished tasks of the job are running, so that it may have
+// ended by now.
 bool MayHaveEnded(const Job& job) {
   if (!job.started || job.recovering || IsFinal(job.stored_state)) {
     return false;
@@ -172,20 +175,20 @@
   return true;
 }
 
-void OnStateAsked(Context& context, Job& job, Asker asker) {
+void OnStateQuery(Context& context, Job& job, Asker waiter) {
   if (!MayHaveEnded(job)) {
-    return TellState(context, asker, job);
+    return ReportState(context, waiter, job);
   }
-  asker.until = context.now + kStateNews;
-  job.watchers.push_back(std::move(asker));
+  waiter.until = context.now + kStateNews;
+  job.watchers.push_back(std::move(waiter));
 }
 
-void BeginCancel(Context& context, Job& job, Asker canceller) {
+void BeginCancel(Context& context, Job& job, Asker waiter) {
   if (IsFinal(job.stored_state)) {
-    return AnswerCancel(context, canceller, job.stored_state);
+    return AnswerCancel(context, waiter, job.stored_state);
   }
-  canceller.until = QuestionDeadline(context);
-  job.cancellers.push_back(std::move(canceller));
+  waiter.until = QueryDeadline(context);
+  job.cancellers.push_back(std::move(waiter));
   if (!job.stored) {
     job.cancel_wanted = true;
     return;
@@ -193,10 +196,10 @@
   EndJob(context, job, JobState::kCancelled, "caller");
 }
 
-void Ask(Context& context,
-         std::uint64_t id,
-         WaitingCaller& caller,
-         const std::string& owner) {
+void SendQuery(Context& context,
+               std::uint64_t id,
+               WaitingCaller& caller,
+               const std::string& owner) {
   caller.asked = owner;
   caller.asked_at = context.now;
   Send(context, owner,
@@ -207,25 +210,26 @@
                 .job = caller.job});
 }
 
-// While the store can't be reached, nothing tells whose the job is; its owner
-// does, if it can be reached. An instance that the store turns away would
-// otherwise have no answer for its callers for as long as that lasts.
-void AskAllWithoutStore(Context& context,
-                        std::uint64_t id,
-                        WaitingCaller& caller) {
+// While the store can't be reached, a job's owner can't be looked up, so all
+// members are queried and the owner replies if it can be reached. Otherwise an
+// instance that the store refuses could not answer its callers for as long as
+// that lasts.
+void QueryAllWithoutStore(Context& context,
+                          std::uint64_t id,
+                          WaitingCaller& caller) {
   if (context.state.store.healthy ||
       !HasPassed(context.now, caller.asked_at, kPeerAnswer)) {
     return;
   }
   for (const std::string& it : OtherMembers(context)) {
-    Ask(context, id, caller, it);
+    SendQuery(context, id, caller, it);
   }
   caller.asked.clear();
 }
 
-void TellOutcome(Context& context,
-                 const WaitingCaller& caller,
-                 JobState state) {
+void ReportOutcome(Context& context,
+                   const WaitingCaller& caller,
+                   JobState state) {
   if (caller.question == CallerQuestion::kCancel) {
     Answer(context, caller.call, CancelTaken{.state = state});
   } else {
@@ -233,7 +237,7 @@
   }
 }
 
-// True when the caller was answered.
+// Returns true if the caller was answered.
 bool AnswerFromRecord(Context& context,
                       WaitingCaller& caller,
                       const CatalogEntry& entry) {
@@ -242,17 +246,18 @@
     return true;
   }
   if (entry.record && IsFinal(entry.record->state)) {
-    TellOutcome(context, caller, entry.record->state);
+    ReportOutcome(context, caller, entry.record->state);
     return true;
   }
   return false;
 }
 
-// True when the caller was answered.
-bool Advance(Context& context, std::uint64_t id, WaitingCaller& caller) {
+// Answers the caller if possible, else reads the job's record or queries its
+// owner, as due. Returns true if the caller was answered.
+bool TryAnswer(Context& context, std::uint64_t id, WaitingCaller& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
     if (caller.question == CallerQuestion::kState) {
-      OnStateAsked(context, *job, Asker{.call = caller.call});
+      OnStateQuery(context, *job, Asker{.call = caller.call});
     } else {
       BeginCancel(context, *job, Asker{.call = caller.call});
     }
@@ -260,7 +265,7 @@
   }
   const CatalogEntry& entry = context.state.catalog[caller.job];
   if (entry.final_state) {
-    TellOutcome(context, caller, *entry.final_state);
+    ReportOutcome(context, caller, *entry.final_state);
     return true;
   }
   const bool read = entry.record || entry.absent;
@@ -268,7 +273,7 @@
     if (!entry.reading_record || entry.read_at < caller.read_from) {
       WantRecord(context, caller.job);
     }
-    AskAllWithoutStore(context, id, caller);
+    QueryAllWithoutStore(context, id, caller);
     return false;
   }
   if (AnswerFromRecord(context, caller, entry)) {
@@ -276,52 +281,55 @@
   }
   const std::string& owner = entry.record->owner;
   if (FindMember(context.state, owner) == nullptr) {
-    // Not by a record from before the question: the job may have a new owner.
+    // A record that was read before the query arrived doesn't count: the job
+    // may have a new owner.
     const bool read_since = caller.read_from != Time::min();
     if (context.state.stop.asked && read_since &&
         caller.question == CallerQuestion::kState) {
       Answer(context, caller.call, JobShown{.state = entry.record->state});
       return true;
     }
-    caller.read_from = context.now;  // until somebody has adopted it
+    caller.read_from = context.now;  // waits for its adoption
     return false;
   }
-  const bool silent = caller.asked == owner &&
-                      HasPassed(context.now, caller.asked_at, kPeerAnswer);
-  if (silent) {
+  const bool unresponsive =
+      caller.asked == owner &&
+      HasPassed(context.now, caller.asked_at, kPeerAnswer);
+  if (unresponsive) {
     WantRecord(context, caller.job);
   }
-  if (silent || caller.asked != owner) {
-    Ask(context, id, caller, owner);
+  if (unresponsive || caller.asked != owner) {
+    SendQuery(context, id, caller, owner);
   }
   return false;
 }
 
-void OnQuestion(Context& context,
-                std::uint64_t call,
-                CallerQuestion question,
-                const std::string& job) {
+void OnCallerQuery(Context& context,
+                   std::uint64_t call,
+                   CallerQuestion question,
+                   const std::string& job) {
   const std::uint64_t id = ++context.state.last_question;
   WaitingCaller caller{.call = call,
                        .question = question,
                        .job = job,
                        .since = context.now,
-                       .give_up = QuestionDeadline(context)};
-  // A job that its owner was known for is asked about there at once.
+                       .give_up = QueryDeadline(context)};
+  // If the catalog names the job's owner, the owner is queried without another
+  // read of the store.
   const auto entry = context.state.catalog.find(job);
   const bool cached =
       entry != context.state.catalog.end() && entry->second.record;
   caller.read_from = cached ? Time::min() : context.now;
-  if (!Advance(context, id, caller)) {
+  if (!TryAnswer(context, id, caller)) {
     context.state.callers.emplace(id, std::move(caller));
   }
 }
 
-void GiveUp(Context& context, const WaitingCaller& caller) {
+void TimeOutQuery(Context& context, const WaitingCaller& caller) {
   const CatalogEntry& entry = context.state.catalog[caller.job];
   const bool read_since = entry.record && entry.known_from >= caller.since;
   if (caller.question == CallerQuestion::kState && read_since) {
-    // The owner can't be reached; what it stored last is true.
+    // The owner can't be reached; the state that it stored last still holds.
     Answer(context, caller.call, JobShown{.state = entry.record->state});
     return;
   }
@@ -330,7 +338,9 @@
          NotKnown{.detail = "the job's owner or the store can't be reached"});
 }
 
-void OnWaiting(Context& context, std::uint64_t call, const QueuePolicy& queue) {
+void OnQueueLengthQuery(Context& context,
+                        std::uint64_t call,
+                        const QueuePolicy& queue) {
   std::uint32_t jobs = CountWaiting(context.state, queue.name);
   for (const auto& [member, queues] : context.state.digest.waiting) {
     const auto it = queues.find(queue.name);
@@ -339,8 +349,9 @@
   Answer(context, call, WaitingShown{.jobs = jobs});
 }
 
-// The cancel goes on; a member that asked for its caller gives up by itself.
-void GiveUpCancellers(Context& context, Job& job) {
+// Times out the callers, not the cancel itself. A member that forwarded a
+// cancel times out its own caller.
+void TimeOutCancelWaiters(Context& context, Job& job) {
   std::erase_if(job.cancellers, [&](const Asker& it) {
     const bool due = context.now >= it.until;
     if (due && it.member.empty()) {
@@ -352,16 +363,17 @@
   });
 }
 
-void GiveUpSubmitters(Context& context, Job& job) {
+void TimeOutSubmitWaiters(Context& context, Job& job) {
   for (const std::uint64_t it : std::exchange(job.submitters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
     Answer(context, it, NotKnown{.detail = "the store has not answered"});
   }
 }
 
-// Submissions that the store has not answered.
-void DriveSubmitters(Context& context) {
-  const bool well = context.state.store.healthy && IsRegistered(context.state);
+// Refuses or times out submissions whose write the store has not acknowledged.
+void DriveSubmitWaiters(Context& context) {
+  const bool store_usable =
+      context.state.store.healthy && IsRegistered(context.state);
   const bool stop_is_due =
       context.state.stop.asked && context.now >= StopDeadline(context.state);
   std::vector<std::string> withdrawn;
@@ -370,7 +382,7 @@
     if (job.stored || job.submitters.empty()) {
       continue;
     }
-    if (!well && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
+    if (!store_usable && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
       for (const std::uint64_t it : job.submitters) {
         Refuse(context, it, id,
                context.state.stop.asked ? RefusalCause::kStopping
@@ -379,22 +391,22 @@
       withdrawn.push_back(id);
     } else if (stop_is_due ||
                HasPassed(context.now, job.created, kSubmitPatience)) {
-      GiveUpSubmitters(context, job);
+      TimeOutSubmitWaiters(context, job);
     }
   }
   for (const std::string& it : withdrawn) {
     Job& job = context.state.jobs.at(it);
-    AnswerWatchers(context, job, true);
-    const std::vector<Asker> cancellers = std::move(job.cancellers);
+    AnswerStatusWaiters(context, job, true);
+    const std::vector<Asker> waiters = std::move(job.cancellers);
     context.state.active.erase(it);
     context.state.jobs.erase(it);
-    RouteCancellers(context, it, cancellers);
+    RedirectCancelWaiters(context, it, waiters);
   }
 }
 
-// What a request is about.
+// The queue and the job that a request names.
 struct Target {
-  const QueuePolicy* queue = nullptr;  // null: there is none such
+  const QueuePolicy* queue = nullptr;  // null: no such queue
   std::string job{};
 };
 
@@ -412,41 +424,41 @@
   return {.queue = queue, .job = request.path.substr(queue->prefix.size())};
 }
 
-// A job that is named by its id alone needs none.
+// State queries and cancels that name a job by its id alone need no queue.
 bool NeedsQueue(const CallerRequest& request) {
-  const bool asks = request.question == CallerQuestion::kState ||
-                    request.question == CallerQuestion::kCancel;
-  return !asks || request.job.empty();
+  const bool is_job_query = request.question == CallerQuestion::kState ||
+                            request.question == CallerQuestion::kCancel;
+  return !is_job_query || request.job.empty();
 }
 
 }  // namespace
 
-void OnCallerAsked(Context& context, const CallerAsked& asked) {
-  const CallerRequest& request = asked.request;
+void OnCallerRequest(Context& context, const CallerAsked& event) {
+  const CallerRequest& request = event.request;
   if (context.state.configuration.version == 0) {
-    return Refuse(context, asked.call, request.path + request.job,
+    return Refuse(context, event.call, request.path + request.job,
                   RefusalCause::kNotReady);
   }
   const Target target = TargetOf(context.state.configuration, request);
   if (target.queue == nullptr && NeedsQueue(request)) {
-    return Answer(context, asked.call, NoSuchQueue{});
+    return Answer(context, event.call, NoSuchQueue{});
   }
   if (request.question == CallerQuestion::kWaiting) {
-    return OnWaiting(context, asked.call, *target.queue);
+    return OnQueueLengthQuery(context, event.call, *target.queue);
   }
   if (!IsJobId(target.job)) {
     return Answer(
-        context, asked.call,
+        context, event.call,
         BadRequest{
             .fault = {.path = "id",
                       .problem = fmt::format("'{}' is no job's id", target.job),
                       .allowed = "1 to 64 letters, digits, - and _"}});
   }
   if (request.question == CallerQuestion::kSubmit) {
-    return OnSubmit(context, asked.call, target.job, *target.queue,
+    return OnSubmit(context, event.call, target.job, *target.queue,
                     request.spec);
   }
-  OnQuestion(context, asked.call, request.question, target.job);
+  OnCallerQuery(context, event.call, request.question, target.job);
 }
 
 void OnJobQuery(Context& context,
@@ -460,7 +472,7 @@
     return BeginCancel(context, *job,
                        Asker{.member = from, .call = query.call});
   }
-  OnStateAsked(context, *job, Asker{.member = from, .call = query.call});
+  OnStateQuery(context, *job, Asker{.member = from, .call = query.call});
 }
 
 void OnJobReply(Context& context, const JobReply& reply) {
@@ -469,7 +481,7 @@
     return;
   }
   if (!reply.known) {
-    if (!it->second.asked.empty()) {  // it was taken for the owner
+    if (!it->second.asked.empty()) {  // the sender was taken for the owner
       it->second.read_from = context.now;
       it->second.asked.clear();
     }
@@ -478,14 +490,14 @@
   if (IsFinal(reply.state)) {
     context.state.catalog[it->second.job].final_state = reply.state;
   }
-  TellOutcome(context, it->second, reply.state);
+  ReportOutcome(context, it->second, reply.state);
   context.state.callers.erase(it);
 }
 
-void OnRecordKnown(Context& context, const std::string& job) {
+void OnRecordRead(Context& context, const std::string& job) {
   std::vector<std::uint64_t> answered;
   for (auto& [id, caller] : context.state.callers) {
-    if (caller.job == job && Advance(context, id, caller)) {
+    if (caller.job == job && TryAnswer(context, id, caller)) {
       answered.push_back(id);
     }
   }
@@ -497,10 +509,10 @@
 void DriveCallers(Context& context) {
   std::vector<std::uint64_t> answered;
   for (auto& [id, caller] : context.state.callers) {
-    if (Advance(context, id, caller)) {
+    if (TryAnswer(context, id, caller)) {
       answered.push_back(id);
     } else if (context.now >= caller.give_up) {
-      GiveUp(context, caller);
+      TimeOutQuery(context, caller);
       answered.push_back(id);
     }
   }
@@ -509,36 +521,36 @@
   }
   for (const std::string& it : context.state.active) {
     Job& job = context.state.jobs.at(it);
-    AnswerWatchers(context, job, false);
-    GiveUpCancellers(context, job);
+    AnswerStatusWaiters(context, job, false);
+    TimeOutCancelWaiters(context, job);
   }
-  DriveSubmitters(context);
+  DriveSubmitWaiters(context);
 }
 
-void AnswerCancel(Context& context, const Asker& canceller, JobState state) {
-  if (canceller.member.empty()) {
-    return Answer(context, canceller.call, CancelTaken{.state = state});
+void AnswerCancel(Context& context, const Asker& waiter, JobState state) {
+  if (waiter.member.empty()) {
+    return Answer(context, waiter.call, CancelTaken{.state = state});
   }
-  Reply(context, canceller.member,
-        JobReply{.call = canceller.call, .known = true, .state = state});
+  Reply(context, waiter.member,
+        JobReply{.call = waiter.call, .known = true, .state = state});
 }
 
-void AnswerWatchers(Context& context, Job& job, bool all) {
+void AnswerStatusWaiters(Context& context, Job& job, bool all) {
   std::erase_if(job.watchers, [&](const Asker& it) {
     const bool due = all || context.now >= it.until;
     if (due) {
-      TellState(context, it, job);
+      ReportState(context, it, job);
     }
     return due;
   });
 }
 
-void RouteCancellers(Context& context,
-                     const std::string& job,
-                     const std::vector<Asker>& cancellers) {
-  for (const Asker& it : cancellers) {
+void RedirectCancelWaiters(Context& context,
+                           const std::string& job,
+                           const std::vector<Asker>& waiters) {
+  for (const Asker& it : waiters) {
     if (it.member.empty()) {
-      OnQuestion(context, it.call, CallerQuestion::kCancel, job);
+      OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
     } else {
       Reply(context, it.member, JobReply{.call = it.call});
     }
@@ -546,7 +558,7 @@
 }
 
 OpenRequests CountOpenRequests(const State& state) {
-  OpenRequests open{.questions = state.callers.size()};
+  OpenRequests open{.queries = state.callers.size()};
   for (const auto& [id, job] : state.jobs) {
     open.submissions += job.submitters.size();
     open.cancels += job.cancellers.size();
@@ -555,11 +567,11 @@
   return open;
 }
 
-void HandOverAskers(Context& context) {
+void HandOverPendingCallers(Context& context) {
   for (auto& [id, job] : context.state.jobs) {
-    AnswerWatchers(context, job, true);
+    AnswerStatusWaiters(context, job, true);
     if (!IsFinal(job.stored_state)) {
-      RouteCancellers(context, id, std::exchange(job.cancellers, {}));
+      RedirectCancelWaiters(context, id, std::exchange(job.cancellers, {}));
     }
   }
 }
--- a/Source/engine/jobs/job_table.cc
+++ b/Source/engine/jobs/job_table.cc
@@ -11,24 +11,27 @@
 
 namespace {
 
-// More runs than one owner can come to: 1,000 starts of one task.
+// Run numbers of one task that are reserved for each owner of its job; more
+// than the starts that one owner can reach.
 constexpr std::uint64_t kRunsPerOwner = 1000;
 
-std::string Span(const Job& job, Time at) {
+std::string FormatSpan(const Job& job, Time at) {
   return at == kForever ? "-"
                         : std::to_string(ToMilliseconds(at - job.created));
 }
 
-// For each step the milliseconds from the submission to its turn, its first
-// advice, its first and last start, and its end.
+// For each step the milliseconds from the job's creation here until it was
+// ready, its first advice, its first and last start, and its end; "-" if there
+// was none.
 std::string Timeline(const Job& job) {
   std::string text;
   for (const Occurrence& occurrence : job.occurrences) {
     for (const StepRun& it : occurrence.steps) {
-      text += fmt::format("{}{}/{}/{}/{}/{}", text.empty() ? "" : ";",
-                          Span(job, it.ready_at), Span(job, it.advised_at),
-                          Span(job, it.first_start), Span(job, it.last_start),
-                          Span(job, it.done_at));
+      text += fmt::format(
+          "{}{}/{}/{}/{}/{}", text.empty() ? "" : ";",
+          FormatSpan(job, it.ready_at), FormatSpan(job, it.advised_at),
+          FormatSpan(job, it.first_start), FormatSpan(job, it.last_start),
+          FormatSpan(job, it.done_at));
     }
   }
   return text;
@@ -133,7 +136,7 @@
   context.state.totals.failed += state == JobState::kFailed ? 1 : 0;
   std::vector<LogField> fields = {{"job", job.id},
                                   {"state", JobStateName(state)}};
-  if (state != JobState::kCompleted) {  // which has one cause only
+  if (state != JobState::kCompleted) {  // completion has only one cause
     fields.push_back({.key = "cause", .value = cause});
   }
   fields.push_back({.key = "timeline", .value = Timeline(job)});
@@ -156,9 +159,9 @@
 }
 
 void StopTask(Context& context, Job& job, const TaskName& name, Task& task) {
-  const bool out =
+  const bool is_placed =
       task.phase == TaskPhase::kOffered || task.phase == TaskPhase::kRunning;
-  if (!out) {
+  if (!is_placed) {
     return;
   }
   if (!task.stopping) {
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -19,20 +19,23 @@
 
 namespace {
 
-// A worker whose entry lapsed in an outage of the store is listed again within
-// about two seconds. Until then a process that has just started can't know of
-// it, nor of what runs there.
-constexpr Duration kListSettled = milliseconds(2300);
+// Time from the registration until the list of workers counts as settled. A
+// worker whose entry lapsed in an outage of the store is listed again within
+// about 2 s; until then an instance that has just started knows neither the
+// worker nor what runs there.
+constexpr Duration kListSettleTime = milliseconds(2300);
 
-// All members are asked this often, should the owner that is known of a worker
-// be a former one.
-constexpr Duration kAskAll = milliseconds(1000);
+// Interval between queries to all members, in case the known owner of a worker
+// is a former one.
+constexpr Duration kQueryAllInterval = milliseconds(1000);
 
-// Repeats the list of unlisted workers that recovery waits for, as a message
-// may get lost. Those that a member is to claim go with each question to all.
-constexpr Duration kTellAgain = milliseconds(5000);
+// Interval at which a member is sent all unlisted workers that recovery waits
+// for, as a message may get lost. Those that the member is to claim go with
+// each query to all members.
+constexpr Duration kUnlistedRepeatInterval = milliseconds(5000);
 
-// Everything that can run the job was heard of.
+// Ends the recovery, as all members and workers that may run the job's tasks
+// are accounted for. Tasks without a reported run wait to be placed.
 void FinishRecovery(Context& context, Job& job) {
   job.recovering = false;
   NoteRecovered(context, job);
@@ -46,8 +49,8 @@
   CompleteIfDone(context, job);
 }
 
-// Reports count from the last registration on: before it this instance may have
-// missed workers that came and left.
+// The reports since the last registration; earlier ones don't count, as this
+// instance may have missed workers that were listed and removed in between.
 UnseenWorkers& UnseenNow(Context& context) {
   UnseenWorkers& unseen = context.state.unseen;
   const Time registered_at = context.state.members.registered_at;
@@ -57,17 +60,17 @@
   return unseen;
 }
 
-// Workers that this instance never saw may run tasks.
+// Whether workers that this instance never saw in the list may run tasks.
 bool MayMissWorkers(Context& context) {
   return !UnseenNow(context).all_told &&
          !HasPassed(context.now, context.state.members.registered_at,
                     kUnlistedKept);
 }
 
-// No worker is missed that may run an adopted job's tasks. The list alone is
-// not enough: workers of a domain that is cut off lapse from it and run on, so
-// that members that have followed the list are asked.
-bool KnowsWorkers(Context& context) {
+// Whether all workers that may run an adopted job's tasks are known. The list
+// alone is not enough: workers of a failure domain that is cut off lapse from
+// it and keep running, so members that have followed the list are queried.
+bool KnowsAllWorkers(Context& context) {
   if (!ListsAreRead(context.state)) {
     return false;
   }
@@ -76,32 +79,34 @@
   }
   const auto others = OtherMembers(context);
   return HasPassed(context.now, context.state.members.registered_at,
-                   kListSettled) &&
+                   kListSettleTime) &&
          std::all_of(others.begin(), others.end(), [&](const std::string& it) {
            return UnseenNow(context).told_by.contains(it);
          });
 }
 
-bool HasToAsk(const Job& job) {
+// Whether a report of a member, or one that covers a worker, is missing.
+bool AwaitsReports(const Job& job) {
   return !job.uncovered.empty() || !job.unheard.empty();
 }
 
-// One round of questions for all jobs that are recovering.
-struct Round {
-  bool all = false;       // every member is asked
-  bool unseen = false;    // workers are asked for that were never seen
-  WorkerSet uncovered{};  // by any of the jobs asked about
+// One round of queries for all recovering jobs.
+struct QueryRound {
+  bool all = false;       // queries every member
+  bool unseen = false;    // requests workers that were never seen
+  WorkerSet uncovered{};  // of any job in the round
   std::map<std::string, AdoptQuery> queries{};
-  // Who can speak for a worker, as far as it was looked up.
-  std::map<std::uint32_t, std::string> speakers{};
+  // Results of ClaimedOwner, by worker number.
+  std::map<std::uint32_t, std::string> claimed_owners{};
 };
 
-// The owner that has claimed the worker; empty: none yet. A member that has not
-// claimed it is not asked: it knows nothing of it, and announces its claim.
-const std::string& SpeakerFor(const Context& context,
-                              std::uint32_t worker,
-                              Round& round) {
-  const auto [it, is_new] = round.speakers.try_emplace(worker);
+// The owner that has claimed the worker; empty if none has yet. A member that
+// has not claimed it is not queried: it knows nothing of the worker's runs, and
+// announces its claim.
+const std::string& ClaimedOwner(const Context& context,
+                                std::uint32_t worker,
+                                QueryRound& round) {
+  const auto [it, is_new] = round.claimed_owners.try_emplace(worker);
   if (is_new) {
     const std::string& id = context.state.recovery.numbers.NameOf(worker);
     const auto view = context.state.view.find(id);
@@ -115,14 +120,14 @@
   return it->second;
 }
 
-std::set<std::string> AskedNow(const Context& context,
-                               const Job& job,
-                               Round& round) {
+std::set<std::string> MembersToQuery(const Context& context,
+                                     const Job& job,
+                                     QueryRound& round) {
   std::set<std::string> members = job.unheard;
   if (round.unseen) {
-    const std::set<std::string>& told_by = context.state.unseen.told_by;
+    const std::set<std::string>& reported_by = context.state.unseen.told_by;
     for (const std::string& it : OtherMembers(context)) {
-      if (!told_by.contains(it)) {
+      if (!reported_by.contains(it)) {
         members.insert(it);
       }
     }
@@ -135,18 +140,19 @@
     return members;
   }
   for (const std::uint32_t it : job.uncovered.Numbers()) {
-    const std::string& speaker = SpeakerFor(context, it, round);
-    if (!speaker.empty()) {
-      members.insert(speaker);
+    const std::string& owner = ClaimedOwner(context, it, round);
+    if (!owner.empty()) {
+      members.insert(owner);
     }
   }
   return members;
 }
 
-void AskAbout(Context& context, Job& job, Round& round) {
+void AddToRound(Context& context, Job& job, QueryRound& round) {
   if (job.version == job.stored_version &&
       HasPassed(context.now, job.confirmed_at, kOwnershipDoubt)) {
-    // Nobody answers a former owner's questions.
+    // Queries of a former owner stay unanswered: the write of the record shows
+    // whether the job has another owner by now.
     job.confirmed_at = context.now;
     MarkChanged(context, job, true);
   }
@@ -155,59 +161,64 @@
     return !MayRunTasks(context.state,
                         context.state.recovery.numbers.NameOf(it));
   });
-  if (!HasToAsk(job) && !round.unseen) {
+  if (!AwaitsReports(job) && !round.unseen) {
     return;
   }
   round.uncovered.InsertAll(job.uncovered);
-  for (const std::string& it : AskedNow(context, job, round)) {
+  for (const std::string& it : MembersToQuery(context, job, round)) {
     round.queries[it].jobs.push_back(
         {.job = job.id, .generation = job.generation});
   }
 }
 
-// Workers that left the store's list and that their present owner may never
-// have seen there. It would not claim them, and recovery would wait for them.
-struct Forgettable {
+// A worker that left the store's list and that its present owner may never have
+// seen there. Unless it is sent to that owner, the owner does not claim it and
+// recovery waits for it.
+struct UnlistedWorker {
   RememberedWorker worker{};
-  std::string owner{};  // that is to claim it
+  std::string owner{};  // the member that is to claim it
 };
 
-std::vector<Forgettable> Remembered(const Context& context,
-                                    const WorkerSet& uncovered) {
-  std::vector<Forgettable> remembered;
+std::vector<UnlistedWorker> FindUnlisted(const Context& context,
+                                         const WorkerSet& uncovered) {
+  std::vector<UnlistedWorker> unlisted;
   for (const std::uint32_t it : uncovered.Numbers()) {
     const std::string& id = context.state.recovery.numbers.NameOf(it);
     if (auto worker = RememberedFor(context.state, id)) {
       std::string owner = ChooseMember(context.state, id, worker->domain);
-      remembered.push_back(
+      unlisted.push_back(
           {.worker = std::move(*worker), .owner = std::move(owner)});
     }
   }
-  return remembered;
+  return unlisted;
 }
 
-void SendRound(Context& context, Round& round) {
+void SendRound(Context& context, QueryRound& round) {
   RecoveryState& recovery = context.state.recovery;
-  const std::vector<Forgettable> remembered =
-      Remembered(context, round.uncovered);
+  const std::vector<UnlistedWorker> unlisted =
+      FindUnlisted(context, round.uncovered);
   for (auto& [member, query] : round.queries) {
-    Time& told = recovery.told.try_emplace(member, Time::min()).first->second;
-    const bool tell_all = HasPassed(context.now, told, kTellAgain);
-    for (const Forgettable& it : remembered) {
-      if (tell_all || (round.all && it.owner == member)) {
+    Time& sent_at =
+        recovery.told.try_emplace(member, Time::min()).first->second;
+    const bool send_all =
+        HasPassed(context.now, sent_at, kUnlistedRepeatInterval);
+    for (const UnlistedWorker& it : unlisted) {
+      if (send_all || (round.all && it.owner == member)) {
         query.remembered.push_back(it.worker);
       }
     }
-    told = tell_all ? context.now : told;
+    sent_at = send_all ? context.now : sent_at;
     query.wants_workers =
         round.unseen && !context.state.unseen.told_by.contains(member);
     Send(context, member, std::move(query));
   }
 }
 
-bool SpeaksFor(const Context& context,
-               const std::string& from,
-               const CoveredWorker& covered) {
+// Whether the sender's claim on the worker is the newest known, and the sender
+// is the worker's owner or has declared it lost.
+bool CountsAsCovered(const Context& context,
+                     const std::string& from,
+                     const CoveredWorker& covered) {
   const auto view = context.state.view.find(covered.worker);
   const bool newest =
       view == context.state.view.end() || covered.fence >= view->second.fence;
@@ -227,7 +238,7 @@
       job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
     }
   }
-  // Each may own workers that this instance has never seen in the list.
+  // Each member may own workers that this instance has never seen in the list.
   for (const std::string& it : OtherMembers(context)) {
     job.unheard.insert(it);
   }
@@ -236,10 +247,12 @@
 
 void DriveRecovery(Context& context) {
   RecoveryState& recovery = context.state.recovery;
-  std::optional<bool> knows_workers;  // looked up once, if any job needs it
-  const bool ask = HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
-  Round round{.all = HasPassed(context.now, recovery.asked_all_at, kAskAll),
-              .unseen = MayMissWorkers(context)};
+  std::optional<bool> knows_all;  // computed once, if a job needs it
+  const bool query_due =
+      HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
+  QueryRound round{
+      .all = HasPassed(context.now, recovery.asked_all_at, kQueryAllInterval),
+      .unseen = MayMissWorkers(context)};
   bool recovering = false;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
@@ -249,25 +262,25 @@
     std::erase_if(job.unheard, [&](const std::string& member) {
       return FindMember(context.state, member) == nullptr;
     });
-    if (!HasToAsk(job)) {
-      if (!knows_workers) {
-        knows_workers = KnowsWorkers(context);
+    if (!AwaitsReports(job)) {
+      if (!knows_all) {
+        knows_all = KnowsAllWorkers(context);
       }
-      if (*knows_workers) {
+      if (*knows_all) {
         FinishRecovery(context, job);
         continue;
       }
     }
     recovering = true;
-    if (ask || !job.asked) {
-      AskAbout(context, job, round);
+    if (query_due || !job.asked) {
+      AddToRound(context, job, round);
     }
   }
   if (!recovering) {
     recovery = RecoveryState();
     return;
   }
-  if (ask) {
+  if (query_due) {
     recovery.asked_at = context.now;
     recovery.asked_all_at = round.all ? context.now : recovery.asked_all_at;
   }
@@ -277,9 +290,9 @@
 void OnAdoptReport(Context& context,
                    const std::string& from,
                    const AdoptReport& report) {
-  // First: a report of them does not make its sender cover them.
+  // Processed before the covered workers: reporting a worker doesn't cover it.
   OnWorkersRemembered(context, report.remembered);
-  // Each question since the registration asked for them, if need was.
+  // Each query since the registration has requested them, if needed.
   UnseenWorkers& unseen = UnseenNow(context);
   unseen.told_by.insert(from);
   unseen.all_told = unseen.all_told || report.all_remembered;
@@ -292,7 +305,7 @@
   std::vector<std::uint32_t> covered;
   for (const CoveredWorker& it : report.covered) {
     const auto number = context.state.recovery.numbers.Find(it.worker);
-    if (number && SpeaksFor(context, from, it)) {
+    if (number && CountsAsCovered(context, from, it)) {
       covered.push_back(*number);
     }
   }
@@ -308,7 +321,7 @@
   }
 }
 
-void OnWorkerFound(Context& context, const std::string& worker) {
+void OnWorkerListed(Context& context, const std::string& worker) {
   if (!MayRunTasks(context.state, worker)) {
     return;
   }
@@ -320,7 +333,7 @@
   }
 }
 
-void OnWorkerEnded(Context& context, const std::string& worker) {
+void OnWorkerCleared(Context& context, const std::string& worker) {
   const auto number = context.state.recovery.numbers.Find(worker);
   if (!number) {
     return;
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -8,13 +8,13 @@
 #include "engine/advice/advice.h"
 #include "engine/advice/advice_turns.h"
 #include "engine/jobs/adoption.h"
+#include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_progress.h"
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/job_table.h"
 #include "engine/jobs/placing.h"
-#include "engine/jobs/questions.h"
 #include "engine/jobs/recovery.h"
-#include "engine/jobs/run_questions.h"
+#include "engine/jobs/run_queries.h"
 #include "engine/members/digests.h"
 #include "engine/members/membership.h"
 #include "engine/members/node_records.h"
@@ -112,7 +112,7 @@
     context.state.members.last_contact = context.now;
   }
   void operator()(const TimePassed&) {}
-  void operator()(const CallerAsked& it) { OnCallerAsked(context, it); }
+  void operator()(const CallerAsked& it) { OnCallerRequest(context, it); }
   void operator()(const StoreAnswered& it) {
     if (auto purpose = TakeStoreCall(context, it)) {
       std::visit(PurposeVisitor{context, it.answer}, *purpose);
--- a/Tests/engine/recovery_messages_test.cc
+++ b/Tests/engine/recovery_messages_test.cc
@@ -1,4 +1,4 @@
-// What taking jobs over costs in messages.
+// Bounds the number of messages that the recovery of adopted jobs takes.
 #include <variant>
 
 #include <doctest/doctest.h>
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// All of 33 instances lost power at once. Each then asked all others each 120
-// ms about all the jobs that it had taken over, also those who had told all
-// that they knew, until lists had settled and dead workers were gone: a third
-// of the requests failed, and hundreds of jobs had nothing running at the end
-// of the day.
-TEST_CASE("Who takes jobs over asks only those who have more to tell") {
+// Guards against a flood of queries after 33 instances lose power at once. Each
+// one queried all others every 120 ms about all of its adopted jobs, even
+// members that had reported everything, until the lists had settled and the
+// dead workers were declared lost: a third of the requests failed, and hundreds
+// of jobs still had nothing running at the end of the day.
+TEST_CASE("An adopter queries only members whose reports are missing") {
   Fleet fleet({.instances = 9, .workers = 18});
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(4)});
@@ -44,14 +44,15 @@
   CheckPromises(fleet);
 }
 
-// A failure domain with a third of the workers was cut off, and for 6 s nothing
-// could be known of them. Each instance asked those that were to claim them,
-// which knew nothing of them yet, each 120 ms, and described all of the workers
-// each time. With 30 instances and 350 workers that were 4,500 questions a
-// second with 540,000 descriptions. In a fleet of that size ten instances lost
-// their registration after the cut had healed; from then on its logs had 126
-// times that the store can't be reached.
-TEST_CASE("Of a domain that is cut off little is asked until more is known") {
+// Guards against queries that can't be answered yet. A failure domain with a
+// third of the workers is cut off, and for 6 s nothing can be known of them.
+// Each instance queried the members that were to claim the workers, which knew
+// nothing of them yet, every 120 ms, and described all of the workers each
+// time: with 30 instances and 350 workers 4,500 queries a second with 540,000
+// descriptions. In a fleet of that size ten instances lost their registration
+// after the cut had healed, and from then on the logs reported 126 times that
+// the store can't be reached.
+TEST_CASE("Few queries are sent about workers of a domain that is cut off") {
   Fleet fleet({.instances = 9, .workers = 36});
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(3)});
@@ -59,7 +60,7 @@
     fleet.Submit(it, "j" + it, OneStep(8));
   }
   fleet.Run(seconds(1));
-  const auto is_apart = [](const std::string& name) {
+  const auto is_cut_off = [](const std::string& name) {
     return std::stoi(name.substr(1)) % 3 == 1;
   };
   std::size_t queries = 0;
@@ -71,29 +72,29 @@
     }
   };
   fleet.is_cut = [&](const std::string& from, const std::string& to) {
-    return is_apart(from) != is_apart(to);
+    return is_cut_off(from) != is_cut_off(to);
   };
   fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
-    return is_apart(node) ? StoreFault::kRefuse : StoreFault::kNone;
+    return is_cut_off(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
   fleet.order_fault = [&](const std::string& node, const std::string& worker,
                           const WorkerRequest&) {
-    return is_apart(node) != is_apart(worker) ? OrderFault::kUnreached
-                                              : OrderFault::kNone;
+    return is_cut_off(node) != is_cut_off(worker) ? OrderFault::kUnreached
+                                                  : OrderFault::kNone;
   };
   fleet.Run(seconds(3));
   for (const std::string& it : fleet.worker_names()) {
-    if (is_apart(it)) {
+    if (is_cut_off(it)) {
       fleet.store.Remove("worker/" + it + "-1");
     }
   }
   fleet.Run(seconds(5));
-  // Three adopters ask five others and themselves once a second, and twice at
+  // Three adopters query five others and themselves once a second, and twice at
   // the adoption.
   CHECK(queries > 0);
   CHECK(queries <= 3 * 6 * 9);
-  // Twelve workers, told to all every 5 s and to who is to claim them each
-  // second.
+  // Twelve workers, sent to all members every 5 s and every second to those
+  // that are to claim them.
   CHECK(descriptions <= 3 * 12 * (6 * 2 + 6));
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
--- a/Tests/engine/takeover_review_test.cc
+++ b/Tests/engine/takeover_review_test.cc
@@ -1,5 +1,6 @@
-// Workers that change hands while members know different things: what runs at a
-// worker must not be taken for ended, and what has ended must run again soon.
+// Workers that change owners while members have different information: runs at
+// a worker must not be taken for ended, and tasks whose runs were lost must run
+// again soon.
 #include <algorithm>
 #include <optional>
 #include <set>
@@ -22,7 +23,7 @@
   return watch != nullptr && watch->prefix == kMemberPrefix;
 }
 
-std::size_t CountGone(const Fleet& fleet, const std::string& worker) {
+std::size_t CountLost(const Fleet& fleet, const std::string& worker) {
   return static_cast<std::size_t>(std::count_if(
       fleet.log.begin(), fleet.log.end(), [&](const LogLine& line) {
         return line.number == EventNumber::kWorkerGone &&
@@ -30,8 +31,8 @@
       }));
 }
 
-// Who owns w0 when n0, the only member of its domain, is gone.
-std::string Heir() {
+// The owner of w0 after n0, the only member of its domain, was removed.
+std::string SuccessorOfN0() {
   Fleet fleet;
   fleet.Settle();
   fleet.Kill("n0");
@@ -39,12 +40,12 @@
   return fleet.state("n1").owned.contains("w0-1") ? "n1" : "n2";
 }
 
-std::string Other(const std::string& heir) {
-  return heir == "n1" ? "n2" : "n1";
+std::string OtherThan(const std::string& successor) {
+  return successor == "n1" ? "n2" : "n1";
 }
 
-// What `node` calls at w0 does not arrive, others' calls do.
-auto UnreachedFor(const std::set<std::string>& nodes) {
+// Calls of `nodes` to w0 don't arrive; calls of other instances do.
+auto UnreachableFrom(const std::set<std::string>& nodes) {
   return [nodes](const std::string& node, const std::string& worker,
                  const WorkerRequest&) {
     return worker == "w0" && nodes.contains(node) ? OrderFault::kUnreached
@@ -52,60 +53,64 @@
   };
 }
 
-// n0 is turned away by the store and goes on renewing what runs at w0. Another
-// instance is started when n0's registration has just ended: it has never seen
-// n0. The third one has not heard of the end, as its watch is silent, and
-// counts n0 among the present ones. It says that nobody whom it remembers can
-// renew leases, and the young one, which has read of n0's machine, takes that
-// for the whole truth.
-TEST_CASE("What a member says that has not heard of an end counts for less") {
-  const std::string heir = Heir();
-  const std::string other = Other(heir);
+// Guards against a worker that is declared lost while n0 renews its leases. The
+// store refuses n0, which keeps renewing the runs at w0. Another instance
+// starts just after n0's registration has ended, so it has never seen n0. The
+// third one gets no updates on its watch and still counts n0 as a member, so it
+// reports that no former member that it remembers can renew leases. The new
+// instance, which has read n0's machine record, took that for complete.
+TEST_CASE("A report from before a member's removal does not cover it") {
+  const std::string successor = SuccessorOfN0();
+  const std::string other = OtherThan(successor);
   Fleet fleet;
   const std::string job = BeginLasting(fleet, other, other);
-  fleet.Kill(heir);
-  fleet.Run(seconds(20));  // nobody may take it for one that renews leases
-  bool silent = false;
+  fleet.Kill(successor);
+  fleet.Run(seconds(20));  // no member may count it as one that renews leases
+  bool watch_stalled = false;
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     if (node == "n0") {
       return StoreFault::kRefuse;
     }
-    return node == other && silent && WatchesMembers(it) ? StoreFault::kSilent
-                                                         : StoreFault::kNone;
+    return node == other && watch_stalled && WatchesMembers(it)
+               ? StoreFault::kSilent
+               : StoreFault::kNone;
   };
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.Run(milliseconds(1300));
-  silent = true;
-  const auto has_left = [&] {
+  watch_stalled = true;
+  const auto has_lapsed = [&] {
     return fleet.store.Keys(std::string(kMemberPrefix) + "n0").empty();
   };
-  REQUIRE(fleet.RunUntil(has_left, seconds(5)));
-  fleet.Start(heir);
+  REQUIRE(fleet.RunUntil(has_lapsed, seconds(5)));
+  fleet.Start(successor);
   fleet.Run(seconds(2));
-  silent = false;
+  watch_stalled = false;
   fleet.Run(seconds(5));
-  CHECK(CountGone(fleet, "w0-1") == 0);
+  CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
   CheckPromises(fleet);
 }
 
-// n0 loses its registration and its answers from w0. Asked by the next owner it
-// gives the worker up and says until when its leases last. Before that time it
-// registers again, is the worker's owner again and renews the leases; the other
-// one, which has claimed nothing yet, holds on to what it was told while its
-// call is under way or its watch is late.
-void PlayReturn(Duration back, Duration late, Duration frozen) {
-  const std::string heir = Heir();
+// n0 loses its registration and its answers from w0. Queried by the next owner,
+// it releases the worker and reports when its leases end. Before that time it
+// registers again, owns the worker again and renews the leases. The other
+// owner, which has claimed nothing yet, may still rely on the reported end
+// while its call is in flight or its watch is delayed.
+void LoseAndRegainWorker(Duration return_after,
+                         Duration watch_delay,
+                         Duration freeze) {
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
-  const std::string job = BeginLasting(fleet, heir, heir);
+  const std::string job = BeginLasting(fleet, successor, successor);
   const Time begin = fleet.now();
-  bool silent = false;
+  bool watch_stalled = false;
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
-    if (node == "n0" && fleet.now() < begin + back) {
+    if (node == "n0" && fleet.now() < begin + return_after) {
       return StoreFault::kRefuse;
     }
-    return node == heir && silent && WatchesMembers(it) ? StoreFault::kSilent
-                                                        : StoreFault::kNone;
+    return node == successor && watch_stalled && WatchesMembers(it)
+               ? StoreFault::kSilent
+               : StoreFault::kNone;
   };
   fleet.order_fault = [&](const std::string& node, const std::string& worker,
                           const WorkerRequest&) {
@@ -115,79 +120,84 @@
     if (node != "n0") {
       return OrderFault::kUnreached;
     }
-    return fleet.now() < begin + back ? OrderFault::kLoseAnswer
-                                      : OrderFault::kNone;
+    return fleet.now() < begin + return_after ? OrderFault::kLoseAnswer
+                                              : OrderFault::kNone;
   };
-  if (late > Duration(0)) {
-    fleet.Run(back - milliseconds(1300));
-    silent = true;
-    fleet.Run(milliseconds(1300) + late);
-    silent = false;
+  if (watch_delay > Duration(0)) {
+    fleet.Run(return_after - milliseconds(1300));
+    watch_stalled = true;
+    fleet.Run(milliseconds(1300) + watch_delay);
+    watch_stalled = false;
   } else {
-    fleet.Run(back);
+    fleet.Run(return_after);
   }
-  if (frozen > Duration(0)) {
-    fleet.Freeze(heir, frozen);
+  if (freeze > Duration(0)) {
+    fleet.Freeze(successor, freeze);
   }
   fleet.Run(seconds(8));
-  INFO("back after " << ToMilliseconds(back) << " ms");
+  INFO("back after " << ToMilliseconds(return_after) << " ms");
   CheckPromises(fleet);
 }
 
-TEST_CASE("A member that has given a worker up and owns it again is seen") {
+TEST_CASE("A member that released a worker and owns it again is noticed") {
   for (int it = 0; it < 24; ++it) {
-    PlayReturn(milliseconds(5400 + 100 * it), Duration(0), Duration(0));
+    LoseAndRegainWorker(milliseconds(5400 + 100 * it), Duration(0),
+                        Duration(0));
   }
 }
 
-TEST_CASE("A member that owns a worker again is heard of late") {
+TEST_CASE("Renewed ownership of a worker is noticed despite a delayed watch") {
   for (int it = 0; it < 12; ++it) {
-    PlayReturn(milliseconds(6000 + 100 * it), milliseconds(300), Duration(0));
+    LoseAndRegainWorker(milliseconds(6000 + 100 * it), milliseconds(300),
+                        Duration(0));
   }
 }
 
-// What came meanwhile waits in the queue of a process that stood still, or that
-// is short of processor time; a timer is served before it.
-TEST_CASE("A member that owns a worker again is heard of after a pause") {
+// Messages wait in the queue of a process that was stalled, or that is short of
+// processor time; a timer is handled before them.
+TEST_CASE("Renewed ownership of a worker is noticed after a pause") {
   for (int it = 0; it < 12; ++it) {
-    PlayReturn(milliseconds(6000 + 100 * it), Duration(0), milliseconds(1600));
+    LoseAndRegainWorker(milliseconds(6000 + 100 * it), Duration(0),
+                        milliseconds(1600));
   }
 }
 
-// An owner that has claimed a worker of another domain loses sight of it and of
-// that whole domain, where an instance starts, registers and takes the worker
-// over. The store tells all of them of each other. The former owner declares
-// the worker gone when its own leases are over, though the list of members says
-// that the worker is another's by now.
-TEST_CASE("A worker that has another owner by now is not taken for gone") {
-  const std::string heir = Heir();
+// Guards against a former owner that declares a worker lost. It has claimed a
+// worker of another domain, and can no longer reach that domain, where an
+// instance starts, registers and takes the worker over. All of them see each
+// other in the store's list of members. The former owner declared the worker
+// lost when its own leases had ended, although by that list the worker has
+// another owner.
+TEST_CASE("A worker that has another owner by now is not declared lost") {
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
-  const std::string job = BeginLasting(fleet, heir, heir);
+  const std::string job = BeginLasting(fleet, successor, successor);
   fleet.Kill("n0");
   fleet.Run(seconds(5));
-  REQUIRE(fleet.state(heir).owned.at("w0-1").claimed);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  REQUIRE(fleet.state(successor).owned.at("w0-1").claimed);
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from != to && (from == "n0" || to == "n0");
   };
-  fleet.Run(milliseconds(2200));  // a call that is under way is still answered
+  fleet.Run(milliseconds(2200));  // a call in flight is still answered
   fleet.Start("n0");
   fleet.Run(seconds(12));
   CHECK(fleet.state("n0").owned.at("w0-1").claimed);
-  CHECK(CountGone(fleet, "w0-1") == 0);
+  CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
   CheckPromises(fleet);
 }
 
-// A worker is lost together with its owner, and its entry has left the store's
-// list before that owner is back: the new life never learns of the worker, and
-// the one that had claimed it meanwhile gives the claim up. The owner of the
-// job is alive all the while, so nobody adopts anything; it asks the new life
-// for the run and gets no answer.
-TEST_CASE("A lost worker that its new owner has never seen is found gone") {
+// Guards against a lost worker whose tasks never run again. The worker fails
+// together with its owner, and its entry has left the store's list before that
+// owner restarts: the new process never learns of the worker, and the instance
+// that had claimed it meanwhile releases the claim. The job's owner stays up,
+// so no job is adopted; it queries the new process for the run and gets no
+// reply.
+TEST_CASE("A failed worker that its new owner never saw is declared lost") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -201,19 +211,18 @@
   CheckPromises(fleet);
 }
 
-// The machine of a worker is lost while the worker's owner is in its planned
-// stop, after which that owner's machine leaves for good. Nobody registers
-// there again, so the leases count as renewed for as long as those of a process
-// that is cut off.
-TEST_CASE("A worker that dies during its owner's last stop is gone in time") {
+// Guards against a worker that is declared lost too late. Its machine fails
+// during the planned stop of its owner, whose machine is then removed
+// permanently. No process registers there again, so the leases counted as
+// renewed for as long as those of a process that is cut off.
+TEST_CASE("A worker that dies during its owner's last stop is lost in time") {
   for (int it = 0; it < 8; ++it) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
     fleet.Run(milliseconds(250 * it));
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
     fleet.StopPlanned("n0");
-    fleet.Run(
-        milliseconds(1900));  // a call that is under way is still answered
+    fleet.Run(milliseconds(1900));  // a call in flight is still answered
     fleet.worker("w0").Crash(fleet.now(), "w0-2");
     fleet.Run(milliseconds(2600));
     fleet.store.Remove("worker/w0-1");
@@ -224,12 +233,13 @@
   }
 }
 
-// The domain of a worker and its owner loses power for good. The owner counts
-// as one that may be cut off and renew leases for 12 s more.
-TEST_CASE("A worker that is lost for good with its owner is gone in time") {
+// Guards against a worker that is declared lost too late. Its domain loses
+// power permanently, with its owner, which counts as one that may be cut off
+// and renew leases for another 12 s.
+TEST_CASE("A worker that fails permanently with its owner is lost in time") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -239,15 +249,16 @@
   CheckPromises(fleet);
 }
 
-// An instance is restarted and reads the list of members while the process
-// before it still stands there; that entry ends before the store lets the new
-// one register. It can't tell of itself that it has replaced the other process,
-// asks it, at its own address, and gets no answer.
-TEST_CASE("A process knows that the one before it on its machine has ended") {
+// Guards against an instance that waits for a reply of its own predecessor. It
+// restarts and reads the list of members while the former process is still
+// listed; that entry ends before the store lets the new process register. It
+// can't derive from the list that it replaced the former process, queries it at
+// its own address and gets no reply.
+TEST_CASE("A process knows that its predecessor on the machine has ended") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   const Time begin = fleet.now();
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     const bool grant = std::holds_alternative<StoreLeaseGrant>(it);
     return node == "n0" && grant && fleet.now() < begin + milliseconds(3500)
@@ -260,26 +271,27 @@
   fleet.Start("n0");
   fleet.Run(milliseconds(4200));
   fleet.store.Remove("worker/w0-1");
-  // A lease after it has registered, and what claiming and asking takes.
+  // One lease after the registration, plus the time for claims and queries.
   fleet.Run(milliseconds(3500 + 6420 + 1500 - 4500));
   CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
   CheckPromises(fleet);
 }
 
-// A machine is suspended for a while, and is turned away by the store. By a
-// clock that stood still meanwhile its process went on renewing for 12 s after
-// it had woken up, so longer than the others think: 8 tasks ran twice for a
-// second. The clock of the events counts a suspension, see the runtime's tests.
-TEST_CASE("A suspended member renews no longer than the others count on") {
-  const std::string heir = Heir();
+// Guards against a suspended process that renews leases for too long. Its
+// machine is suspended for a while and the store refuses it. By a clock that
+// stops during a suspension, the process kept renewing for 12 s after it
+// resumed, longer than the others assume: 8 tasks ran twice for a second. The
+// clock of the events counts a suspension, see the runtime's tests.
+TEST_CASE("A suspended member renews no longer than the others assume") {
+  const std::string successor = SuccessorOfN0();
   constexpr Duration kSuspended = milliseconds(4500);
   for (int it = 0; it < 8; ++it) {
     Fleet fleet;
-    const std::string job = BeginLasting(fleet, heir, heir);
+    const std::string job = BeginLasting(fleet, successor, successor);
     fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
       return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
     };
-    fleet.order_fault = UnreachedFor({"n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n1", "n2"});
     fleet.Run(milliseconds(250 * it));
     fleet.Freeze("n0", kSuspended);
     fleet.Run(seconds(26));
@@ -288,13 +300,14 @@
   }
 }
 
-// All instances lose power at once with a worker, and one of them does not come
-// back: it counts as one that may be cut off and renew leases.
-TEST_CASE("A worker that died in a loss of power of all is gone in time") {
+// Guards against a worker that is declared lost too late. All instances lose
+// power at once with the worker, and one of them does not restart: it counts as
+// one that may be cut off and renew leases.
+TEST_CASE("A worker that fails in a common power loss is lost in time") {
   for (const bool all_back : {true, false}) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
     for (const std::string& it : fleet.nodes()) {
       fleet.Kill(it);
     }
@@ -316,46 +329,48 @@
 
 constexpr const char* kEntryOfW0 = "w0|a|s|8000|0";
 
-// A worker is cut off until it is found gone, comes back under the same name
-// with nothing running, and is another member's. The member that found it gone
-// goes on saying so for 20 s. When the worker's owner and the owner of a job
-// that runs there die together, that word ends the recovery of the job while
-// its tasks run, and the others never use the worker again.
-TEST_CASE("A worker that comes back after it was found gone counts again") {
-  const std::string heir = Heir();
+// Guards against an outdated announcement that a worker is lost. The worker is
+// cut off until it is declared lost, reappears under the same name with nothing
+// running, and has another owner. The member that declared it lost announces
+// that for 20 s. When the worker's owner and the owner of a job that runs there
+// die together, the announcement ended the recovery of the job while its tasks
+// ran, and the others never used the worker again.
+TEST_CASE("A worker that reappears after it was declared lost is used again") {
+  const std::string successor = SuccessorOfN0();
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Run(seconds(4));
   fleet.store.Remove("worker/w0-1");
-  REQUIRE(fleet.RunUntil([&] { return CountGone(fleet, "w0-1") == 1; },
+  REQUIRE(fleet.RunUntil([&] { return CountLost(fleet, "w0-1") == 1; },
                          seconds(12)));
-  fleet.order_fault = UnreachedFor({});
+  fleet.order_fault = UnreachableFrom({});
   fleet.Start("n0");
   fleet.Run(milliseconds(500));
   fleet.store.Put("worker/w0-1", kEntryOfW0);
   fleet.Run(seconds(2));
   REQUIRE(fleet.state("n0").owned.at("w0-1").claimed);
-  CHECK(fleet.state(heir).view.at("w0-1").accepting);
-  CHECK_FALSE(fleet.state(heir).view.at("w0-1").gone);
+  CHECK(fleet.state(successor).view.at("w0-1").accepting);
+  CHECK_FALSE(fleet.state(successor).view.at("w0-1").gone);
   const std::string job = "j1";
   fleet.Submit("n0", job, Lasting(kLastingTasks));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == kLastingTasks);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.order_fault = UnreachableFrom({"n1", "n2"});
   fleet.Kill("n0");
   fleet.Run(seconds(8));
   CheckPromises(fleet);
 }
 
-// A worker has lost its path to the store, its owner renews what runs there. A
-// young instance that has never seen the worker adopts the job. The members
-// that it knows have told it of all workers that it knows; that one of them,
-// the worker's owner, has said nothing at all does not hold the recovery up.
-TEST_CASE("A recovery hears each member before it ends") {
+// Guards against a recovery that ends too early. A worker can't reach the
+// store, but its owner renews its runs. A restarted instance that has never
+// seen the worker adopts the job. All workers that it knows are covered by
+// reports of other members, so the missing report of one member, the worker's
+// owner, did not delay the end of the recovery.
+TEST_CASE("A recovery waits for a report of each member") {
   Fleet fleet({.instances = 3, .workers = 3});
   fleet.Settle();
   const std::string job = JobFor(fleet, "n2");
@@ -381,23 +396,24 @@
   CheckPromises(fleet);
 }
 
-// An order to stop from a job's new owner that comes before its first question
-// tells whose the job is. The question then looks like one that was asked
-// again, and a worker counts as surely owned since the adoption before.
-TEST_CASE("A stop that overtakes an adopter's question does not answer it") {
+// Guards against an adoption query that is taken for a repeated one. A stop
+// command of the job's new owner that arrives before its first query already
+// names the owner, and a worker's ownership counted as proven since the
+// adoption before.
+TEST_CASE("A stop that overtakes an adopter's query is not taken for it") {
   Fleet fleet;
   fleet.Settle();
   const std::string job = "j1";
   fleet.Tell("n0", "n1-1", AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
   fleet.Run(seconds(3));
-  const Time asked = fleet.now();
+  const Time queried_at = fleet.now();
   fleet.Tell("n0", "n2-1",
              TaskStops{.stops = {{.task = job + ".0.0.0",
                                   .run = 1,
                                   .worker = "w0-1",
                                   .generation = 3}}});
   fleet.Tell("n0", "n2-1", AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
-  CHECK(fleet.state("n0").known.at(job).adopted >= asked);
+  CHECK(fleet.state("n0").known.at(job).adopted >= queried_at);
 }
 
 }  // namespace
