--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -15,7 +15,8 @@
 
 namespace {
 
-// Room that is overbooked for a moment, as after a takeover, shows as none.
+// Room may be overbooked for a short time, as after a takeover. It is then
+// reported as zero.
 void ClampToZero(Resources& free) {
   free.processors_milli = std::max<std::int64_t>(free.processors_milli, 0);
   free.memory_mb = std::max<std::int64_t>(free.memory_mb, 0);
@@ -71,9 +72,9 @@
   return {.fence = room.fence, .accepting = room.accepting, .gone = room.gone};
 }
 
-// A changed owner of a worker, or whether it takes tasks: until others know
-// they offer in vain or leave it empty. Checked as often as digests may be
-// sent.
+// Whether a worker's owner changed, or whether it accepts tasks. Until other
+// members know, their offers fail or they leave the worker idle. Checked at
+// most as often as digests may be sent.
 bool HasUrgent(Context& context) {
   DigestState& state = context.state.digest;
   if (!HasPassed(context.now, state.looked_at, kDigestInterval)) {
@@ -93,7 +94,8 @@
                                std::max<std::int64_t>(members - kFewMembers, 0);
 }
 
-// When the members can't notice otherwise that they have missed one.
+// Digests are repeated without a change because members have no other way to
+// notice that they missed the last one.
 bool RemindIsDue(const Context& context) {
   const DigestState& state = context.state.digest;
   return HasPassed(context.now, state.sent_at,
@@ -143,14 +145,14 @@
   });
 }
 
-// Whether some digest before this one was missed.
+// Detects by the sequence that an earlier digest was missed.
 void NoteSequence(Context& context,
                   const std::string& from,
                   const RoomDigest& digest) {
   DigestState& state = context.state.digest;
   std::uint64_t& heard = state.heard[from];
-  // A digest without changes repeats the number of the last one that had some:
-  // taken for that one, it would hide that a single digest was missed.
+  // A digest without changes repeats the sequence of the last one with changes.
+  // Counting it as that one would hide that a single digest was missed.
   const bool tells = !digest.workers.empty() || !digest.waiting.empty();
   if (digest.whole) {
     heard = std::max(heard, digest.sequence);
@@ -192,7 +194,7 @@
   if (!newer || (view.gone && it.fence <= view.fence)) {
     return;
   }
-  // Somebody has claimed it after it was taken for gone.
+  // Another member has claimed the worker after it was declared lost.
   context.state.gone.erase(it.worker);
   view = RoomView{.owner = from,
                   .fence = it.fence,
--- a/Source/engine/members/digests.h
+++ b/Source/engine/members/digests.h
@@ -1,4 +1,4 @@
-// The peers' view of all workers' room, kept up by digests.
+// Digests: keep each member's view of all workers' room up to date.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_DIGESTS_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_DIGESTS_H_
 
@@ -9,23 +9,28 @@
 
 namespace burdockrock::engine {
 
-// Tells the members what has changed here, and asks them for what was missed.
+// Does what is due by now: sends local changes to the other members, sends
+// whole digests that were requested, and requests those that were missed.
 void DriveDigests(Context& context);
 
 void OnRoomDigest(Context& context,
                   const std::string& from,
                   const RoomDigest& digest);
 
-// Free room of an own worker, or that it is gone; nothing of any other.
+// Room of a worker that this instance owns or has declared lost; nothing for
+// any other worker.
 std::optional<WorkerRoom> RoomOfWorker(Context& context, const std::string& id);
 
-// `from` has said so. Older than what is known, it counts for nothing.
+// Takes over the room that `from` reported for its worker. Ignored when it is
+// older than what is known.
 void OnRoom(Context& context, const std::string& from, const WorkerRoom& room);
 
+// `from` requests a whole digest.
 void OnDigestAsk(Context& context, const std::string& from);
 
-// Asks the worker's owner for its room, as after an offer that never arrived:
-// what is known of it may be wrong, and no digest would correct it.
+// Requests a whole digest of the worker's owner, for example after a lost
+// offer: the known room may be wrong, and without a change there no digest
+// would correct it.
 void DoubtRoom(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -26,7 +26,7 @@
 
 double Score(const ChoosableMember& member, std::string_view key) {
   const XXH64_hash_t hash = XXH64(key.data(), key.size(), member.node_hash);
-  // To (0, 1]; the weighted form of rendezvous hashing.
+  // Maps the hash to (0, 1], for weighted rendezvous hashing.
   const double unit = (static_cast<double>(hash >> 11U) + 1) / 0x1p53;
   return -static_cast<double>(member.weight) / std::log(unit);
 }
@@ -43,8 +43,8 @@
   }
 }
 
-// Rebuilds the table from which owners are chosen. To be called after each
-// change of the members, as choices are far more frequent.
+// Rebuilds the table from which owners are chosen. Called after each change of
+// the members, because choices are far more frequent.
 void MembersChanged(MembersState& members) {
   ++members.version;
   members.choosable.clear();
@@ -58,7 +58,7 @@
   }
 }
 
-// Empty when there is none in the domain.
+// Returns an empty string when the domain has no member.
 std::string ChooseAmong(const State& state,
                         std::string_view key,
                         std::string_view domain) {
@@ -85,8 +85,8 @@
   AskStore(context, StoreLeaseGrant{.ttl = ttl}, ForLeaseGrant{});
 }
 
-// An earlier incarnation of this machine is surely gone: its entry goes with
-// the new registration instead of after its lease.
+// Keys of earlier incarnations on this machine. Their processes have ended, so
+// the new registration removes the entries before their leases expire.
 std::vector<std::string> EarlierIncarnations(const Context& context) {
   std::vector<std::string> keys;
   for (const auto& [incarnation, member] : context.state.members.present) {
@@ -130,7 +130,7 @@
            ForRaise{});
 }
 
-// The machine runs one process: an earlier one is gone for certain.
+// A machine runs one process at a time, so earlier ones on `node` have ended.
 void EndEarlierProcesses(Context& context, const std::string& node) {
   OnNodeSeen(context, node);
   for (auto& [id, it] : context.state.members.departed) {
@@ -233,7 +233,7 @@
   members.departed.erase(incarnation);
   MembersChanged(members);
   if (IsSelf(context, incarnation)) {
-    // The answer to the registration was lost, but it took effect.
+    // The registration took effect although its reply was lost.
     SetFence(context, item.revision);
     return;
   }
@@ -261,7 +261,7 @@
       members.present.begin(), members.present.end(), [&](const auto& it) {
         return it.second.record.node == node.mapped().record.node;
       });
-  // A member that has announced its end will not rejoin: its jobs get a new
+  // A member that has announced its stop will not rejoin: its jobs get a new
   // owner at once.
   const bool may_rejoin = !replaced && node.mapped().parted_at == kForever;
   const Duration grace =
@@ -314,7 +314,7 @@
     return;
   }
   if (const auto* conflict = std::get_if<StoreConflict>(&answer)) {
-    // An earlier try whose answer was lost has taken effect.
+    // An earlier attempt took effect although its reply was lost.
     for (const StoreItem& it : conflict->items) {
       if (it.key == MemberKey(context.self()) && it.revision != 0) {
         SetFence(context, it.revision);
@@ -393,8 +393,8 @@
 void Deregister(Context& context) {
   MembersState& members = context.state.members;
   context.state.stop.released = true;
-  // Spares new owners of a worker that dies now the wait for leases that nobody
-  // renews.
+  // Without this message, new owners of a worker that fails now would wait for
+  // the end of leases that this instance no longer renews.
   for (const std::string& it : OtherMembers(context)) {
     Send(context, it, Parting());
   }
--- a/Source/engine/members/membership.h
+++ b/Source/engine/members/membership.h
@@ -1,4 +1,5 @@
-// Which entry instances live: the own registration, and the others'.
+// Membership of the cluster: registration of this entry instance in the store,
+// and the registrations of the others.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_MEMBERSHIP_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_MEMBERSHIP_H_
 
@@ -9,12 +10,15 @@
 
 namespace burdockrock::engine {
 
-// Registers, renews, raises the fence and takes leave of members, as due.
+// Does what is due by now: registers this instance, renews its lease, advances
+// its fence, and declares members lost whose grace has passed.
 void DriveMembership(Context& context);
 
+// A member's registration appeared, changed or disappeared in the store.
 void OnMemberItem(Context& context, const StoreItem& item);
 void OnMemberRemoved(Context& context, const std::string& key);
 
+// Replies of the store to this instance's own requests.
 void OnLeaseGranted(Context& context, const StoreAnswer& answer);
 void OnLeaseRenewed(Context& context,
                     std::uint64_t lease,
@@ -22,40 +26,41 @@
 void OnRegistered(Context& context, const StoreAnswer& answer);
 void OnRaised(Context& context, const StoreAnswer& answer);
 
-// The member stops and renews no leases any more.
+// The member `from` is stopping and renews no more leases.
 void OnParting(Context& context, const std::string& from);
 
-// The store no longer has the own registration.
+// Handles the loss of this instance's registration in the store. `cause` is
+// logged.
 void LoseRegistration(Context& context, const char* cause);
 
-// Asks for a fence above all that the store has given so far.
+// Requests a fence above all that the store has assigned so far.
 void WantRaise(Context& context);
 
-// Ends the registration, so that the others take over at once.
+// Ends the registration so that the other members take over at once.
 void Deregister(Context& context);
 
 bool IsRegistered(const State& state);
 
-// No other member can have taken this one for gone: its registration was
-// renewed within its lifetime. An instance that has just woken up from a freeze
-// still believes in its registration.
+// Whether the registration was renewed within its lifetime, so that no other
+// member can have declared this one lost. IsRegistered() is still true in a
+// process that resumes after a pause in which its registration expired.
 bool IsSurelyRegistered(const Context& context);
 
-// Of a member, also of one that has departed; empty when it is not known.
+// Address of a current or departed member; empty when it is unknown.
 std::string AddressOf(const State& state, const std::string& incarnation);
 
-// Null when it is not a member, or has departed for good.
+// Null when it is not a member or was declared lost.
 const MemberRecord* FindMember(const State& state,
                                const std::string& incarnation);
 
-// The member that should own `key` among those of `domain`, or among all when
-// none is there or `domain` is empty. Each machine counts once. Empty when
-// there is no member.
+// The member that should own `key` by weighted rendezvous hashing, among those
+// of the failure domain `domain`, or among all when the domain has none or is
+// empty. Each machine counts once. Returns an empty string without members.
 std::string ChooseMember(const State& state,
                          std::string_view key,
                          std::string_view domain);
 
-// Members that are present or still counted, without this instance.
+// Incarnations of all registered members but this instance.
 std::vector<std::string> OtherMembers(const Context& context);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -10,9 +10,10 @@
 
 namespace {
 
-// Well above the time for which a process renews leases without the store.
+// Well above the time for which a process renews worker leases without the
+// store.
 constexpr Duration kForgetAfter = milliseconds(60'000);
-// Of one round; the next takes more.
+// Operations of one transaction; the next round removes more.
 constexpr std::size_t kMaxForgotten = 30;
 
 constexpr const char* kDuty = "node records";
@@ -107,7 +108,7 @@
   nodes.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    return;  // read again, from the same page
+    return;  // the same page is read again
   }
   if (forget) {
     return Forget(context, page->items);
--- a/Source/engine/members/node_records.h
+++ b/Source/engine/members/node_records.h
@@ -1,5 +1,6 @@
-// Machines of entry instances that were ever registered: an instance that has
-// just started learns of which processes it can know nothing.
+// Store records of all machines that ever registered an entry instance. From
+// them, a newly started instance learns which machines had processes that it
+// has not seen as members.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_NODE_RECORDS_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_NODE_RECORDS_H_
 
@@ -9,12 +10,15 @@
 
 namespace burdockrock::engine {
 
-// Reads the records once, and removes those of machines that are gone for long.
+// Reads the records once. From time to time one member removes those of
+// machines that have had no process for a long time.
 void DriveNodes(Context& context);
 
+// Reply of the store with one page of the records. `forget`: read to remove old
+// records, else to learn them.
 void OnNodePage(Context& context, bool forget, const StoreAnswer& answer);
 
-// A process has registered from there.
+// A process on the machine `node` has registered.
 void OnNodeSeen(Context& context, const std::string& node);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/members/peer_codec.h
+++ b/Source/engine/members/peer_codec.h
@@ -1,4 +1,4 @@
-// Messages between entry instances as JSON-RPC notifications.
+// Encodes messages between entry instances as JSON-RPC notifications.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_PEER_CODEC_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_PEER_CODEC_H_
 
@@ -14,14 +14,14 @@
 
 namespace burdockrock::engine {
 
-// One for each alternative of PeerMessage, in its order.
+// Method names, one for each alternative of PeerMessage and in its order.
 std::span<const char* const> PeerMethods();
 
 // `from` is the sender's incarnation.
 Json::Value EncodePeerNotification(const std::string& from,
                                    const PeerMessage& message);
 
-// `params` of the method with this name.
+// Decodes the `params` of a notification with this method name.
 std::variant<PeerMessage, DecodeError> DecodePeerMessage(
     std::string_view method,
     const Json::Value& params);
--- a/Source/engine/members/peer_fields.h
+++ b/Source/engine/members/peer_fields.h
@@ -1,4 +1,4 @@
-// The members of the messages between entry instances in JSON.
+// JSON field names of the messages between entry instances.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_PEER_FIELDS_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_PEER_FIELDS_H_
 
@@ -44,7 +44,7 @@
     codec.Optional("workers", it.workers, std::vector<engine::WorkerRoom>());
     codec.Optional("waiting", it.waiting, std::vector<engine::QueueWaiting>());
     codec.Optional("advice_wait_ms", it.advice_wait, Duration(0));
-    // A member of an older release tells one wait for all calls.
+    // A member of an older release sends one wait for calls of any priority.
     codec.Optional("advice_urgent_ms", it.advice_urgent_wait, it.advice_wait);
   }
 };
--- a/Source/engine/members/peer_message.h
+++ b/Source/engine/members/peer_message.h
@@ -1,5 +1,5 @@
-// What entry instances tell each other. Each message can be repeated and lost:
-// the sender repeats it until it sees the effect.
+// Messages between entry instances. Delivery is not guaranteed and a message
+// may arrive more than once: the sender repeats it until it sees the effect.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_PEER_MESSAGE_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_PEER_MESSAGE_H_
 
@@ -15,38 +15,40 @@
 
 namespace burdockrock::engine {
 
-// Free room of one owned worker.
+// Free capacity of one owned worker.
 struct WorkerRoom {
   std::string worker{};
-  std::uint64_t fence = 0;    // of the owner; the highest one is right
-  std::uint64_t version = 0;  // rises with each change at this owner
+  std::uint64_t fence = 0;    // of the owner; the highest fence wins
+  std::uint64_t version = 0;  // increases with each change at this owner
   Resources free{};
-  // Of runs that can be stopped for the most urgent work.
+  // Held by runs that may be preempted for the most urgent work.
   Resources yielding{};
-  bool accepting = false;  // takes new tasks
-  bool gone = false;       // all that ran there has ended
-  // How long tasks take there, in hundredths of their estimates; 0: not known.
+  bool accepting = false;  // accepts new tasks
+  bool gone = false;       // declared lost: every run there has ended
+  // Task time there as a percentage of the estimates; 0: unknown.
   std::uint32_t slowness = 0;
 
   auto operator<=>(const WorkerRoom&) const = default;
 };
 
+// Number of jobs of one queue that are waiting at the sender.
 struct QueueWaiting {
   std::string queue{};
-  std::uint32_t jobs = 0;  // accepted, no task has started
+  std::uint32_t jobs = 0;  // accepted, no task started yet
 
   auto operator<=>(const QueueWaiting&) const = default;
 };
 
-// What changed at the sender since its last digest. Whoever missed one sees a
-// gap in the sequence and asks for the whole.
+// Changes at the sender since its last digest. A receiver that missed one sees
+// a gap in the sequence and requests a whole digest.
 struct RoomDigest {
-  std::uint64_t sequence = 0;  // rises by one with each that tells of a change
-  bool whole = false;          // all that the sender has to tell
+  std::uint64_t sequence = 0;  // increases by one with each that holds a change
+  bool whole = false;          // full state instead of changes
   std::vector<WorkerRoom> workers{};
   std::vector<QueueWaiting> waiting{};
-  Duration advice_wait{0};         // until the sender would ask for more advice
-  Duration advice_urgent_wait{0};  // likewise, for the most urgent work
+  // Time that one more advice call would wait at the sender.
+  Duration advice_wait{0};
+  Duration advice_urgent_wait{0};  // the same for the most urgent work
 
   auto operator<=>(const RoomDigest&) const = default;
 };
@@ -56,9 +58,9 @@
   std::uint32_t index = 0;
   std::uint64_t run = 0;
   std::string worker{};
-  // Of the worker's owner, as the sender knows it. An offer that was held up on
-  // its way until the worker was claimed again must not start what has a
-  // successor elsewhere by then.
+  // Of the worker's owner, as known to the sender. An offer that was delayed
+  // until the worker was claimed again must not start a run that has since been
+  // replaced by one elsewhere.
   std::uint64_t fence = 0;
   std::string ticket{};
   std::string checkpoint{};
@@ -66,7 +68,7 @@
   auto operator<=>(const OfferedTask&) const = default;
 };
 
-// The job's owner asks the workers' owner to start tasks of one step.
+// Request of the job's owner to the workers' owner to start tasks of one step.
 struct TaskOffer {
   std::string job{};
   std::uint64_t generation = 0;  // of the job's owner
@@ -75,8 +77,8 @@
   std::string payload{};
   StepSpec spec{};
   std::uint32_t priority = 0;
-  bool preempts = false;   // runs of less urgent work may be stopped for it
-  bool book_only = false;  // keep the room, start later
+  bool preempts = false;   // may stop runs of less urgent work
+  bool book_only = false;  // reserve the room, start later
   std::vector<OfferedTask> tasks{};
 
   auto operator<=>(const TaskOffer&) const = default;
@@ -87,16 +89,18 @@
   kBooked,
   kNoRoom,
   kNotOwner,    // the worker has another owner, or none yet
-  kNotServing,  // it drains or fails its health check
+  kNotServing,  // the worker is draining or fails its health check
   kBadTicket,
-  kOldRun,    // a run as high as this one ended there already
+  kOldRun,    // a run with this number or a higher one has ended there
   kOldOwner,  // the job has a newer owner
-  kInvalid,   // the worker refuses the order itself
-  kStopped,   // stopped before it had started
+  kInvalid,   // the worker rejects the command itself
+  kStopped,   // stopped before it started
 };
 
+// The value on the wire, such as "no_room".
 const char* OfferOutcomeName(OfferOutcome outcome);
 
+// Outcome for one task of an offer.
 struct OfferAnswer {
   std::string task{};
   std::uint64_t run = 0;
@@ -108,12 +112,13 @@
 
 struct OfferAnswers {
   std::vector<OfferAnswer> answers{};
-  // Of workers that refused, as it is now: the next choice is a better one.
+  // Current room of the workers that refused, for the sender's next choice.
   std::vector<WorkerRoom> rooms{};
 
   auto operator<=>(const OfferAnswers&) const = default;
 };
 
+// Request of a job's owner to the worker's owner to stop one run.
 struct TaskStop {
   std::string task{};
   std::uint64_t run = 0;
@@ -129,8 +134,8 @@
   auto operator<=>(const TaskStops&) const = default;
 };
 
-// `sequence` 0: the run was lost with its worker, and no confirmation that the
-// end is stored is needed.
+// End of one run, sent to the job's owner. `sequence` is 0 when the run was
+// lost with its worker: then no confirmation that the end is stored is needed.
 struct EndReport {
   std::string worker{};
   std::uint64_t sequence = 0;
@@ -148,6 +153,7 @@
   auto operator<=>(const EndReports&) const = default;
 };
 
+// Identifies one EndReport that is stored.
 struct StoredEnd {
   std::string worker{};
   std::uint64_t sequence = 0;
@@ -155,15 +161,15 @@
   auto operator<=>(const StoredEnd&) const = default;
 };
 
-// The job's owner has the ends in the store: the worker may forget them.
+// The job's owner has stored the ends: the worker may delete them.
 struct EndsStored {
   std::vector<StoredEnd> ends{};
 
   auto operator<=>(const EndsStored&) const = default;
 };
 
-// A worker that left the store's list and of which not everything that runs
-// there was heard yet.
+// A worker that was removed from the store's list while some of its runs may
+// not have been reported yet.
 struct RememberedWorker {
   std::string worker{};
   std::string address{};
@@ -173,6 +179,7 @@
   auto operator<=>(const RememberedWorker&) const = default;
 };
 
+// Asks for the state of one run.
 struct RunQuery {
   std::string task{};
   std::uint64_t run = 0;
@@ -181,8 +188,9 @@
   auto operator<=>(const RunQuery&) const = default;
 };
 
-// The job's owner has not heard of these runs for long. `remembered`: of their
-// workers those that left the store's list.
+// Sent by the job's owner for runs without an update for a long time.
+// `remembered` holds those of their workers that were removed from the store's
+// list.
 struct RunQueries {
   std::vector<RunQuery> runs{};
   std::vector<RememberedWorker> remembered{};
@@ -192,15 +200,17 @@
 
 enum class RunState {
   kRunning,
-  kPending,    // ordered, not answered yet, or being stopped
-  kAbsent,     // not there and never will be
-  kStill,      // there, but its work does not go on
-  kUnwanted,   // it runs; its worker is to be emptied
-  kUnreached,  // it was there; its worker can't be reached at the moment
+  kPending,    // start command not answered yet, or being stopped
+  kAbsent,     // not there, and will not start there
+  kStill,      // there, but its work has stalled
+  kUnwanted,   // running on a worker that is to be drained
+  kUnreached,  // was there; its worker is unreachable at the moment
 };
 
+// The value on the wire, such as "running".
 const char* RunStateName(RunState state);
 
+// State of one run, sent to the job's owner.
 struct RunReport {
   std::string task{};
   std::uint64_t run = 0;
@@ -217,6 +227,7 @@
   auto operator<=>(const RunReports&) const = default;
 };
 
+// Ownership epoch of one job.
 struct JobGeneration {
   std::string job{};
   std::uint64_t generation = 0;
@@ -224,48 +235,54 @@
   auto operator<=>(const JobGeneration&) const = default;
 };
 
-// A new owner of jobs asks what of them runs. From then on the receiver
-// refuses offers of lower generations. `remembered` are the workers that are
-// still waited for and that a receiver may not know.
+// A new owner of jobs queries their runs. From then on the receiver refuses
+// offers with lower generations. `remembered` holds the workers whose runs are
+// still outstanding and that a receiver may not know.
 struct AdoptQuery {
   std::vector<JobGeneration> jobs{};
   std::vector<RememberedWorker> remembered{};
-  // The sender has not followed the list of workers for long.
+  // Set when the sender has watched the list of workers only for a short time
+  // and may have missed removals.
   bool wants_workers = false;
 
   auto operator<=>(const AdoptQuery&) const = default;
 };
 
+// A worker whose runs an AdoptReport lists completely.
 struct CoveredWorker {
   std::string worker{};
-  std::uint64_t fence = 0;  // with which the sender owns it
+  std::uint64_t fence = 0;  // of the sender's ownership
   bool gone = false;
 
   auto operator<=>(const CoveredWorker&) const = default;
 };
 
-// All runs and ends of the jobs asked for, and the workers of which that is
-// all.
+// All runs and ends of the queried jobs that the sender knows, and the workers
+// for which that is complete.
 struct AdoptReport {
   std::vector<std::string> jobs{};
   std::vector<RunReport> runs{};
   std::vector<EndReport> ends{};
   std::vector<CoveredWorker> covered{};
-  // For who wants them: workers that left the list and that may run tasks.
+  // For `wants_workers`: workers that were removed from the list and that may
+  // still run tasks.
   std::vector<RememberedWorker> remembered{};
-  // With the store's list they are all that may run tasks.
+  // Together with the store's list, `remembered` holds every worker that may
+  // run tasks.
   bool all_remembered = false;
 
   auto operator<=>(const AdoptReport&) const = default;
 };
 
+// What a JobQuery requests.
 enum class JobQuestion { kState, kCancel };
 
+// The value on the wire, such as "cancel".
 const char* JobQuestionName(JobQuestion question);
 
-// A caller's question about a job, to the job's owner.
+// A caller's request about a job, forwarded to the job's owner.
 struct JobQuery {
-  std::uint64_t call = 0;  // the asker's
+  std::uint64_t call = 0;  // chosen by the sender
   JobQuestion question = JobQuestion::kState;
   std::string job{};
 
@@ -273,29 +290,31 @@
 };
 
 struct JobReply {
-  std::uint64_t call = 0;
-  bool known = false;  // the replier owns the job
+  std::uint64_t call = 0;  // of the query
+  bool known = false;      // the sender owns the job
   JobState state = JobState::kQueued;
 
   auto operator<=>(const JobReply&) const = default;
 };
 
-// Asks the receiver to ask the advice service: it serves one call at a time for
-// each entry instance.
+// Asks the receiver to call the advice service for the sender. The service
+// serves one call at a time for each entry instance, so calls are spread over
+// all of them.
 struct AdviceAsk {
-  std::uint64_t call = 0;  // the asker's
+  std::uint64_t call = 0;  // chosen by the sender
   std::string step{};
   std::uint32_t priority = 0;
-  bool lasting = false;  // the step's tasks are to be at work all the time
-  Duration expected{0};  // how long the service will take
-  Duration patience{0};  // the asker waits so long; 0: for ever
-  // Whoever would have to let it wait longer declines it; 0: it may wait.
+  bool lasting = false;  // the step's tasks are to run permanently
+  Duration expected{0};  // service time of the call
+  Duration patience{0};  // after which the sender gives up; 0: no limit
+  // The receiver declines the call if it would wait longer; 0: no limit.
   Duration most_wait{0};
   std::vector<std::string> workers{};
 
   auto operator<=>(const AdviceAsk&) const = default;
 };
 
+// A worker that the advice service allows, with the ticket for it.
 struct AdvisedWorker {
   std::string worker{};
   std::string ticket{};
@@ -306,37 +325,39 @@
 struct AdviceReply {
   std::uint64_t call = 0;
   bool failed = false;
-  bool declined = false;  // not put to the service: it would wait too long
+  bool declined = false;  // the service was not called: the wait is too long
   std::vector<AdvisedWorker> allowed{};
-  Duration wait{0};         // until the sender would ask for more advice
-  Duration urgent_wait{0};  // likewise, for the most urgent work
+  Duration wait{0};         // of one more advice call at the sender
+  Duration urgent_wait{0};  // the same for the most urgent work
 
   auto operator<=>(const AdviceReply&) const = default;
 };
 
-// The worker's machine is to go down: its owner empties it.
+// The worker's machine is about to shut down: its owner drains the worker.
 struct PrepareWorker {
   std::string worker{};
 
   auto operator<=>(const PrepareWorker&) const = default;
 };
 
-// Nothing runs there any more, and nothing new starts for a while.
+// The worker is drained, and nothing starts there for a while.
 struct WorkerPrepared {
   std::string worker{};
 
   auto operator<=>(const WorkerPrepared&) const = default;
 };
 
+// One worker of a LeaseQuery.
 struct LeaseQuestion {
   std::string worker{};
-  std::uint64_t number = 0;  // the asker's
+  std::uint64_t number = 0;  // chosen by the sender
 
   auto operator<=>(const LeaseQuestion&) const = default;
 };
 
-// Who claims workers that it can't reach asks until when leases last there that
-// the receiver has renewed. Whoever answers gives the worker up.
+// Sent by a member that claims workers which it can't reach: asks until when
+// the leases last that the receiver has renewed there. A receiver that answers
+// for a worker gives up its ownership.
 struct LeaseQuery {
   std::vector<LeaseQuestion> workers{};
 
@@ -345,28 +366,29 @@
 
 struct LeaseEnd {
   std::string worker{};
-  std::uint64_t number = 0;  // the question's
-  Duration left{0};          // 0: none lasts
+  std::uint64_t number = 0;  // of the query
+  Duration left{0};          // until the last lease ends; 0: none is valid
 
   auto operator<=>(const LeaseEnd&) const = default;
 };
 
-// Workers that the sender still owns and reaches are left out.
+// Reply to a LeaseQuery. Workers that the sender owns and can reach are left
+// out.
 struct LeaseReport {
   std::vector<LeaseEnd> ends{};
-  // So long leases may last that members renewed which the sender remembers, or
-  // may have missed.
+  // Upper bound for leases that were renewed by former members which the sender
+  // remembers or may have missed.
   Duration others_left{0};
 
   auto operator<=>(const LeaseReport&) const = default;
 };
 
-// The sender stops and has renewed its last lease.
+// The sender is stopping and has renewed its last lease.
 struct Parting {
   auto operator<=>(const Parting&) const = default;
 };
 
-// The receiver sends its whole digest.
+// Requests a whole digest of the receiver.
 struct DigestAsk {
   auto operator<=>(const DigestAsk&) const = default;
 };
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-// Progress that can't be stored in this time is learned from the workers by
-// whoever adopts the jobs.
+// Time for storing job progress. The new owners of the jobs query the workers
+// for progress that is not stored by then.
 constexpr Duration kFlushTime = milliseconds(1200);
-// The others claim the workers meanwhile, while late messages are answered.
+// Time after the hand-over in which other members claim the workers and this
+// instance still answers late messages.
 constexpr Duration kLinger = milliseconds(800);
 
-// Kept before the process is killed, for what still comes on open connections
-// and for the last answers to leave; half of the grace where that is short.
+// Reserved at the end of the grace, before the process is killed, for requests
+// that still arrive on open connections and for sending the last answers. At
+// most half of the grace.
 constexpr Duration kLastAnswers = milliseconds(2000);
 
 bool IsFlushed(const State& state) {
@@ -24,7 +26,7 @@
          CountOpenRequests(state) == OpenRequests();
 }
 
-// Progress is stored at once instead of at its time.
+// Makes the store writes of pending job progress due at once.
 void HurryProgress(State& state) {
   for (const std::string& id : state.active) {
     Job& job = state.jobs.at(id);
@@ -32,7 +34,7 @@
   }
 }
 
-// With the requests that wait, for whoever looks for one without an answer.
+// Adds the numbers of pending requests, to help to find one without an answer.
 void LogStage(Context& context,
               EventNumber number,
               std::vector<LogField> fields) {
--- a/Source/engine/members/room_codec.cc
+++ b/Source/engine/members/room_codec.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kAccepting = 1;
 constexpr std::uint64_t kGone = 2;
 
-// Behind the worker.
+// Columns of a row after the worker's name.
 enum Column {
   kVersion,
   kState,
@@ -57,7 +57,7 @@
   return row;
 }
 
-// The most that a column can hold.
+// Largest valid value of a column.
 std::uint64_t MostOf(std::size_t column) {
   switch (column) {
     case kVersion:
--- a/Source/engine/members/room_codec.h
+++ b/Source/engine/members/room_codec.h
@@ -1,5 +1,5 @@
-// Rooms of workers in JSON, as short as they can be: most bytes between entry
-// instances are theirs.
+// Compact JSON encoding of worker rooms, which make up most of the bytes
+// between entry instances.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_ROOM_CODEC_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_ROOM_CODEC_H_
 
@@ -12,11 +12,11 @@
 
 namespace burdockrock::engine {
 
-// An array. A number in it is the owner's fence for the rows behind it; a row
-// is an array of the worker, the version, 0, 1 (accepting) or 2 (gone), free
-// processors and memory, the slowness, free accelerators, and what yields in
-// the order processors, memory, accelerators. Zeros at a row's end are left
-// out.
+// The encoding is an array of numbers and rows. A number is the owner's fence
+// of the rows after it. A row is an array of the worker, the version, the state
+// (0, 1: accepting, 2: lost), free processors (thousandths) and memory (MB),
+// the slowness, free accelerators, and the preemptible room as processors,
+// memory and accelerators. Zeros at the end of a row are omitted.
 Json::Value WriteValue(const std::vector<WorkerRoom>& rooms);
 void ReadValue(const JsonPlace& place, std::vector<WorkerRoom>& out);
 
--- a/Source/engine/members/silence.cc
+++ b/Source/engine/members/silence.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Two hops between failure domains and a pause of the member's process take
-// less.
+// Longer than two hops between failure domains plus a pause of the member's
+// process.
 constexpr Duration kLeastSilence = std::chrono::milliseconds(120);
-// Keeps most offers from a member that is cut off.
+// Short enough to keep most offers from a member that is cut off.
 constexpr Duration kMostSilence = std::chrono::milliseconds(500);
 
 }  // namespace
--- a/Source/engine/members/silence.h
+++ b/Source/engine/members/silence.h
@@ -1,6 +1,6 @@
-// Members that do not answer offers. Their registration outlasts a cut by
-// seconds, and a task that is offered to them meanwhile can't be started
-// elsewhere before it is known whether it runs.
+// Unresponsive members: those that do not answer offers. Their registration
+// outlasts a network cut by seconds, and a task that is offered to them
+// meanwhile can't be started elsewhere before it is known whether it runs.
 #ifndef BURDOCKROCK_ENGINE_MEMBERS_SILENCE_H_
 #define BURDOCKROCK_ENGINE_MEMBERS_SILENCE_H_
 
@@ -10,14 +10,14 @@
 
 namespace burdockrock::engine {
 
-// An offer goes to the member.
+// Records that an offer is sent to the member.
 void NoteOffer(Context& context, const std::string& member);
 
-// The member has sent something.
+// Records that a message of any kind arrived from the member.
 void NoteWord(Context& context, const std::string& member);
 
-// Finds members whose answer is overdue. They get no offers until their next
-// message.
+// Marks members as unresponsive whose answer is overdue. They get no offers
+// until their next message.
 void DriveSilence(Context& context);
 
 }  // namespace burdockrock::engine
