--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -17,24 +17,28 @@
 
 namespace {
 
-// By the length of a usual call a step is asked for ahead of its turn. Tickets
-// for the largest calls would lapse before their use.
+// Number of workers in a typical call. Its time determines how long before a
+// step is ready its advice is requested; with the time of the largest calls,
+// tickets would expire before their use.
 constexpr std::size_t kUsualNames = 30;
-// An answer that does not come this long after it was due is asked for again. A
-// long call keeps its place in the member's order for longer.
+// A query is repeated when its reply is overdue by this time. Long calls get
+// more time because a repeated query loses its place in the member's queue.
 constexpr Duration kReplySlack = milliseconds(1500);
 constexpr Duration kLongReplySlack = milliseconds(4000);
-// A step's tickets are asked for this long before its turn, beside the time
-// that the call takes.
+// A step's tickets are requested this long before the step is ready, in
+// addition to the time of the call.
 constexpr Duration kAhead = milliseconds(400);
-// A step that may take this much longer than its estimate waits for its turn:
-// tickets that are asked for ahead of long steps lapse before their use.
+// Advice for a step that may exceed its estimate by this much is requested only
+// when the step is ready: tickets requested earlier for the successor of a long
+// step expire before their use.
 constexpr Duration kEnoughSlack = milliseconds(2500);
-// Between two questions about one step, beside the time of a decision.
+// Minimum time between two queries for one step, in addition to the decision
+// time of the service.
 constexpr Duration kWiden = milliseconds(150);
 
-// A member whose wait has grown since its last report declines, and the
-// question goes to another one at once. After so many in a row all are busy.
+// A member whose wait has grown since its last report declines, and the query
+// goes to another member at once. After this many declines in a row, all
+// members are assumed to be busy.
 constexpr std::uint32_t kMostDeclines = 3;
 
 bool HasEnough(const Context& context, const ReadyStep& ready) {
@@ -78,7 +82,7 @@
   return policy.decision + policy.each * static_cast<std::int64_t>(workers);
 }
 
-// How much longer the step may take than it is estimated to.
+// How far the step may exceed its estimate.
 Duration SlackOf(const QueuePolicy& queue, const StepSpec& step) {
   const auto slack =
       (queue.stretch - 1) * static_cast<double>(step.estimate.count());
@@ -97,8 +101,8 @@
             std::vector<std::string> workers) {
   AdviceState& advice = context.state.advice;
   const Duration expected = ExpectedTime(*ready.queue->advice, workers.size());
-  // After a question without an answer only members that were heard since then
-  // are asked: all of a domain are cut off at once.
+  // After a query without a reply, only members are chosen that have sent an
+  // update since then: a whole failure domain may be cut off at once.
   const Time heard_since =
       ready.run().unanswered ? ready.run().called_at : Time::min();
   const std::string member =
@@ -136,7 +140,7 @@
                                           .give_up = context.now + patience});
 }
 
-// To be called before the answer's tickets are taken.
+// Must be called before the reply's tickets are stored in the step.
 void LearnShare(const AdviceQuestion& question,
                 const AdviceReply& given,
                 const StepRun& step,
@@ -173,7 +177,7 @@
   }
 }
 
-// The step that was asked for is free to be asked for again.
+// Allows another query for the step. Null when the job is not known any more.
 StepRun* EndQuestion(Context& context, const AdviceQuestion& question) {
   Job* job = FindJob(context.state, question.step.job);
   if (job == nullptr) {
@@ -189,7 +193,7 @@
                  const AdviceReply& reply,
                  bool unused) {
   if (reply.declined || reply.failed) {
-    return;  // the service was not asked, or was asked in vain
+    return;  // the service was not called, or the call failed
   }
   AdviceCount& count = context.state.totals.advice[question.reason];
   ++count.calls;
@@ -207,7 +211,7 @@
     }
     if (StepRun* step = EndQuestion(context, it.second)) {
       step->unanswered = true;
-      step->asked_at = Time::min();  // another member is asked at once
+      step->asked_at = Time::min();  // query another member at once
     }
     ++context.state.totals.advice[it.second.reason].given_up;
     LeaveCaller(context, it.second);
@@ -239,8 +243,8 @@
 void OnAdviceReply(Context& context,
                    const std::string& from,
                    const AdviceReply& reply) {
-  // Also for an answer that comes too late to be used: its member would be
-  // avoided as silent until its next digest.
+  // Also for a reply that is too late to be used. Otherwise its sender would be
+  // avoided as unresponsive until its next digest.
   HearOfCaller(context, from, reply.wait, reply.urgent_wait);
   auto node = context.state.advice.questions.extract(reply.call);
   if (node.empty()) {
@@ -254,7 +258,7 @@
                      : FindQueueByName(context.state.configuration, job->queue);
   if (reply.declined && step != nullptr) {
     ++step->declines;
-    step->asked_at = Time::min();  // another member is asked at once
+    step->asked_at = Time::min();  // query another member at once
     return;
   }
   if (step != nullptr) {
--- a/Source/engine/advice/advice.h
+++ b/Source/engine/advice/advice.h
@@ -1,7 +1,7 @@
-// Asks the advice service which workers may run a step, ahead of its turn. The
-// service serves one call at a time for each entry instance, and calls of some
-// queues take long: so the calls are spread over all instances, and short ones
-// do not wait behind long ones.
+// Queries the advice service which workers may run a step, before the step is
+// ready. The service serves one call at a time for each entry instance, and
+// calls of some queues take long. Calls are therefore spread over all
+// instances, and short calls do not wait behind long ones.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVICE_H_
 
@@ -11,9 +11,11 @@
 
 namespace burdockrock::engine {
 
-// Asks for the own jobs' steps.
+// Does what is due by now: requests advice for steps of this instance's jobs
+// and gives up overdue queries.
 void DriveAdvice(Context& context);
 
+// Reply of the member that made the call to the service.
 void OnAdviceReply(Context& context,
                    const std::string& from,
                    const AdviceReply& reply);
--- a/Source/engine/advice/advice_callers.cc
+++ b/Source/engine/advice/advice_callers.cc
@@ -16,24 +16,26 @@
 
 namespace {
 
-// Calls that take this long are made by other instances than shorter ones.
+// Calls with at least this service time are long. Some instances make only
+// shorter ones.
 constexpr Duration kLongCall = milliseconds(100);
 // Short calls must not wait behind long ones, so some instances make no long
-// ones: one in three, rounded up, of a small fleet, fewer of what comes beyond,
-// as more would stand idle beside full queues.
+// calls: one in three of a small fleet, rounded up, and one in five of further
+// members, because more would be idle while the others have full queues.
 constexpr std::size_t kSmallFleet = 9;
 constexpr std::size_t kMembersPerShortCaller = 3;
 constexpr std::size_t kFurtherPerShortCaller = 5;
-// Short calls go to an instance that also makes long ones when they would wait
+// Short calls also go to instances that make long ones when they would wait
 // longer than this at the others.
 constexpr Duration kShortWait = milliseconds(80);
 
-// Told waits are late by up to the time between digests: differences below this
-// say nothing.
+// Reported waits are up to one digest interval old, so smaller differences are
+// not significant.
 constexpr Duration kWaitDoubt = milliseconds(250);
 
-// A member that owes an answer for this long and has sent neither a digest nor
-// an answer is not asked until it sends one: its registration outlasts a cut.
+// A member is unresponsive when its reply is overdue by this time and it has
+// sent neither a digest nor a reply. It gets no queries until it sends one. Its
+// registration is no sign, because it outlasts a network cut.
 constexpr Duration kSilence = milliseconds(300);
 
 struct Callers {
@@ -61,8 +63,9 @@
           HeardAt(context, member) >= heard_since);
 }
 
-// In the same order everywhere, which mixes the domains: the first ones by name
-// are all of one, and short calls would have no callers when that is cut off.
+// Orders the members by a hash, which is the same at all instances and mixes
+// the failure domains. By name, the first ones are all of one domain, and no
+// member would make short calls when that domain is cut off.
 std::vector<std::string> MembersInOrder(const Context& context) {
   std::vector<std::pair<XXH64_hash_t, std::string>> ranked;
   const auto add = [&](const std::string& it) {
@@ -104,8 +107,9 @@
   Duration wait = kForever;
 };
 
-// This instance itself among equals, which saves the way, and else any of them:
-// others would take the first one too, until they hear that it is busy.
+// Among equal waits, prefers this instance, which saves a network hop, and else
+// chooses at random: if all instances chose the first one, it would be
+// overloaded until its next report.
 ShortestWait FindShortestWait(const Context& context,
                               const std::vector<std::string>& members,
                               std::uint32_t priority) {
@@ -113,7 +117,7 @@
   std::tuple<std::int64_t, bool, std::uint64_t> best_rank;
   for (const std::string& it : members) {
     const Duration wait = WaitAt(context, it, priority);
-    // Instances whose random numbers are alike choose differently all the same.
+    // The hash makes instances with equal random numbers choose differently.
     const std::uint64_t chance =
         std::hash<std::string>()(context.self() + it) ^ context.state.random();
     const std::tuple rank(wait / kWaitDoubt, it != context.self(), chance);
@@ -193,7 +197,7 @@
   if (IsLost(context, question)) {
     advice.silent.insert(question.member);
   }
-  // It is busier than it has reported.
+  // The member is busier than it reported.
   for (auto* waits : {&advice.waits, &advice.urgent_waits}) {
     Duration& wait = (*waits)[question.member];
     wait = std::max(wait, context.now - question.asked);
--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -1,4 +1,5 @@
-// Which entry instance makes a call for advice.
+// Selects the entry instance that makes a call to the advice service, by the
+// waits that the members report.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_CALLERS_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVICE_CALLERS_H_
 
@@ -9,39 +10,41 @@
 
 namespace burdockrock::engine {
 
-// Whether a call that the service takes so long for counts as a long one.
+// Whether a call with this expected service time counts as a long one.
 bool IsLongCall(Duration expected);
 
-// The member, or this instance, where a call of this length waits the least,
-// among those that have sent something since `heard_since`.
+// The instance where a call of this length waits least, among this one and the
+// members that have sent an update since `heard_since`.
 std::string ChooseCaller(const Context& context,
                          std::uint32_t priority,
                          Duration expected,
                          Time heard_since);
 
-// The member reported its wait.
+// Takes over the waits that the member reported.
 void HearOfCaller(Context& context,
                   const std::string& member,
                   Duration wait,
                   Duration urgent_wait);
 
-// The member left.
+// Removes the state of a member that was removed from the store's list.
 void ForgetCaller(Context& context, const std::string& member);
 
-// Whether whoever was asked has gone, and the question with it, or owes the
-// answer and has sent nothing since it was asked.
+// Whether the query is lost: its member was lost, or its reply is overdue and
+// the member has sent no update since the query.
 bool IsLost(const Context& context, const AdviceQuestion& question);
 
-// How long one more call of this priority would wait there, as far as is known
-// here.
+// Estimated wait of one more call of this priority at the member: its last
+// report and the queries sent to it that have no reply yet.
 Duration WaitAt(const Context& context,
                 const std::string& member,
                 std::uint32_t priority);
 
-// By how much the wait at the member may have grown since its report.
+// By how much the wait at a member may exceed its last report before the member
+// declines a call.
 Duration WaitDoubt(Duration expected);
 
-// The question is given up: its member is avoided until it reports its wait.
+// Called when the query is given up. Its member counts as busier than it
+// reported, and as unresponsive if the query is lost, until its next report.
 void LeaveCaller(Context& context, const AdviceQuestion& question);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/advice/advice_reason.h
+++ b/Source/engine/advice/advice_reason.h
@@ -1,4 +1,4 @@
-// Why calls for advice are made, and what they bring.
+// Reasons for calls to the advice service, and counters of their results.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_REASON_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVICE_REASON_H_
 
@@ -11,29 +11,30 @@
 namespace burdockrock::engine {
 
 enum class AdviceReason {
-  kFirst,     // nothing is known of the workers that may run the step
-  kAdopted,   // likewise, and the job has had another owner
+  kFirst,     // no advice for the step yet
+  kAdopted,   // no advice yet, and the job had another owner before
   kWider,     // the workers with tickets have too little room
-  kLapsed,    // no ticket is valid any more
-  kRepeated,  // the question before was not answered in time, or failed
+  kLapsed,    // all tickets have expired
+  kRepeated,  // the previous query had no reply in time, or failed
 };
 
 inline constexpr std::size_t kAdviceReasons = 5;
 
-// "first", for logs and metrics.
+// Name in logs and metrics, such as "first".
 const char* AdviceReasonName(AdviceReason reason);
 
-// Of this instance's steps, since its start.
+// Totals for this instance's steps since its start.
 struct AdviceCount {
-  std::uint64_t calls = 0;     // that were answered
-  std::uint64_t names = 0;     // workers in them
-  std::uint64_t allowed = 0;   // of these, by the answers
-  std::uint64_t starts = 0;    // tasks that were offered with their tickets
-  std::uint64_t unused = 0;    // calls whose step had ended by their answer
-  std::uint64_t given_up = 0;  // questions without an answer
-  Duration time{0};            // that the answered ones take the service
+  std::uint64_t calls = 0;     // calls that the service answered
+  std::uint64_t names = 0;     // workers named in them
+  std::uint64_t allowed = 0;   // named workers that were allowed
+  std::uint64_t starts = 0;    // tasks offered with the tickets
+  std::uint64_t unused = 0;    // calls whose step had ended before the reply
+  std::uint64_t given_up = 0;  // queries without a reply
+  Duration time{0};            // expected service time of the answered calls
 };
 
+// One AdviceCount for each reason.
 class AdviceCounts {
  public:
   AdviceCount& operator[](AdviceReason reason) {
@@ -47,7 +48,7 @@
   std::array<AdviceCount, kAdviceReasons> counts_{};
 };
 
-// In the order of their values.
+// All reasons in the order of their values.
 inline constexpr std::array<AdviceReason, kAdviceReasons> kAllAdviceReasons = {
     AdviceReason::kFirst, AdviceReason::kAdopted, AdviceReason::kWider,
     AdviceReason::kLapsed, AdviceReason::kRepeated};
--- a/Source/engine/advice/advice_rule.cc
+++ b/Source/engine/advice/advice_rule.cc
@@ -7,24 +7,25 @@
 
 namespace {
 
-// A call that follows soon on another must promise so many starts, and this
-// share of the tasks that wait.
+// Expected starts that a call must have soon after the previous one: this many,
+// and this share of the waiting tasks.
 constexpr double kMinStarts = 1;
 constexpr double kMinStartShare = 0.3;
-// After so long without a call any room will do: about a short job's slack.
+// After this time without a call, a call is made for any room. About the slack
+// of a short job.
 constexpr Duration kPatience = std::chrono::milliseconds(500);
 
-// Keeps most calls from coming back without an allowed worker where the policy
-// allows few.
+// With fewer workers, most calls would return no allowed worker where the
+// policy allows few.
 constexpr std::size_t kLeastNames = 10;
-// Starts for each waiting task: the allowed workers are a random share, and
-// other steps start on the same workers while a call waits and is made. A gang
-// needs all of its room at once.
+// Expected starts that a call should have for each waiting task. More than one,
+// because the allowed workers are a random share and other steps start tasks on
+// the same workers during the call and its wait. A gang needs all of its room
+// at once.
 constexpr double kSurplus = 4;
 constexpr double kGangSurplus = 3;
 
-// All that is known of a share counts as much as an answer about so many
-// workers.
+// Weight of the previous value of a share, as a number of workers in a reply.
 constexpr double kSharePast = 100;
 
 }  // namespace
--- a/Source/engine/advice/advice_rule.h
+++ b/Source/engine/advice/advice_rule.h
@@ -1,4 +1,5 @@
-// When one more call for advice on a step is worth its turn.
+// Decides how many workers a call to the advice service names, and when one
+// more call for a step is worth its service time.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_RULE_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVICE_RULE_H_
 
@@ -8,38 +9,40 @@
 
 namespace burdockrock::engine {
 
-// The share of workers that a queue's policy allows, as its answers show.
+// The share of workers that a queue's policy allows, learned from the replies.
 class AllowedShare {
  public:
   double value() const { return share_; }
 
-  // An answer about so many workers of which nothing was known.
+  // Adds a reply that allowed `allowed` of `named` workers without earlier
+  // advice.
   void Learn(std::size_t allowed, std::size_t named);
 
   bool operator==(const AllowedShare&) const = default;
 
  private:
-  double share_ = 0.4;  // before any answer; it may turn out to be any
+  double share_ = 0.4;  // before the first reply
 };
 
-// A call that is being put together.
+// A call while its workers are being chosen.
 struct AdviceCall {
-  std::size_t waiting = 0;  // tasks of the step
+  std::size_t waiting = 0;  // waiting tasks of the step
   bool gang = false;
-  std::size_t named = 0;  // workers so far
-  double starts = 0;      // that they promise, by the share that is allowed
-  double most = 0;        // starts if all of them are allowed
-  double ticketed = 0;    // starts at other workers with tickets
+  std::size_t named = 0;  // workers chosen so far
+  double starts = 0;      // expected starts there, by the allowed share
+  double most = 0;        // starts if all of these workers are allowed
+  double ticketed = 0;    // starts at other workers with valid tickets
 };
 
-// Whether it names enough workers. Too few of them cost another decision, which
-// takes the service far longer than one more worker.
+// Whether the call names enough workers. Too few cause another call, whose
+// decision takes the service far longer than further workers in this one.
 bool NamesEnough(const AdviceCall& call);
 
-// Whether a step that was asked for before, `since_call` ago, should be asked
-// for again. Little room is free at a time under load; asked for by all that
-// wait it would fill all turns. A step that has not asked for a while takes
-// what there is. A gang starts whole or not at all.
+// Whether to make another call for a step whose previous call was `since_call`
+// ago. Under load, little room is free at a time, and calls of all waiting
+// steps for it would keep the service busy. A step without a call for some time
+// makes one for any room. A gang starts as a whole, so its call needs room for
+// all of it.
 bool IsWorthACall(const AdviceCall& call, Duration since_call);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/advice/advice_turns.cc
+++ b/Source/engine/advice/advice_turns.cc
@@ -11,19 +11,21 @@
 
 namespace {
 
-// Of each priority before the next one, among all but the most urgent: short of
-// the time after which a question is given up.
+// Lead of each priority over the next one, except for the most urgent one,
+// which always comes first. Shorter than the time after which a query is given
+// up.
 constexpr Duration kPriorityLead = milliseconds(250);
 
-// Calls for lasting tasks go before others that came up to so much earlier, so
-// that a task that has ended is soon at work again.
+// Calls for lasting tasks precede others that arrived up to this much earlier,
+// so that a task that has ended soon runs again.
 constexpr Duration kLastingLead = milliseconds(10'000);
 
-// An instance short of processor time gets its answers late. Told with its
-// wait, that moves questions to others; after this long without a call it is
-// tried again.
+// An instance short of processor time receives the service's answers late. It
+// adds this lateness to its reported wait, so that queries go to other
+// instances. The lateness decays to zero over this time after a call, so that
+// the instance gets queries again.
 constexpr Duration kLateSpan = milliseconds(2000);
-// The share of the last call in the lateness.
+// The last call's weight in the lateness is one in this many parts.
 constexpr std::int64_t kLateParts = 2;
 
 Duration LatenessAt(const AdviceState& advice, Time now) {
@@ -39,7 +41,7 @@
   advice.late_at = now;
 }
 
-// How long a call of this priority would wait here.
+// Expected wait of one more call of this priority here.
 Duration WaitBehind(const State& state, Time now, std::uint32_t priority) {
   const AdviceState& advice = state.advice;
   const Duration late = LatenessAt(advice, now);
@@ -56,9 +58,9 @@
   return wait;
 }
 
-// Lower is earlier. The most urgent calls come first, the others nearly in the
-// order that they came: strict priorities would leave the last queue's steps
-// without any ticket.
+// Lower ranks come first. The most urgent calls come first, the others roughly
+// in the order of their arrival: with strict priorities, the steps of the last
+// queue would get no tickets.
 std::tuple<bool, Time> RankOf(const AdviceTurn& turn) {
   return {turn.ask.priority != kMostUrgent,
           turn.arrived + kPriorityLead * turn.ask.priority -
@@ -72,16 +74,17 @@
                           });
 }
 
-// One that has registered just now may ask before this instance has read so.
+// A member that is not listed is not necessarily lost: it may have registered
+// just now and sent a request before this instance has read its registration.
 bool HasGone(const Context& context, const std::string& asker) {
   return context.state.members.departed.contains(asker) &&
          FindMember(context.state, asker) == nullptr;
 }
 
-// Whoever has given a question up asks again, and so does the next owner of the
-// step of an asker that has gone: calls that are made all the same keep others
-// waiting, who then give up too. It shows by waiting steps whose question is
-// younger than their wait.
+// Removes calls whose sender has given up or was lost. The sender repeats its
+// query, and so does the next owner of a lost sender's step. Calls for the old
+// queries would delay others until they are given up too; a sign of that are
+// waiting steps whose query is younger than their wait.
 void DropStaleTurns(Context& context) {
   std::erase_if(context.state.advice.turns, [&](const AdviceTurn& it) {
     const bool given_up = it.ask.patience != Duration(0) &&
--- a/Source/engine/advice/advice_turns.h
+++ b/Source/engine/advice/advice_turns.h
@@ -1,6 +1,6 @@
-// The calls that this instance makes to the advice service, for its own steps
-// and for those of other members. The service serves one call at a time for
-// each entry instance.
+// Queue of the calls that this instance makes to the advice service, for its
+// own steps and for those of other members. The service serves one call at a
+// time for each entry instance.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_TURNS_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVICE_TURNS_H_
 
@@ -10,15 +10,17 @@
 
 namespace burdockrock::engine {
 
-// Makes the next call to the service.
+// Starts the next call when none is in flight.
 void DriveAdviceTurns(Context& context);
 
+// Queues the call, or declines it when its wait would be too long.
 void OnAdviceAsk(Context& context,
                  const std::string& from,
                  const AdviceAsk& ask);
+// The service answered the call in flight, or the call failed.
 void OnAdviceAnswered(Context& context, const AdviceAnswered& event);
 
-// How long one more call would wait here: one of any priority, and one of the
+// Expected wait of one more call here, behind all queued calls, and for the
 // most urgent work.
 Duration AdviceWait(const State& state, Time now);
 Duration UrgentAdviceWait(const State& state, Time now);
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -12,20 +12,20 @@
 
 namespace {
 
-// Workers without room now are named for the room that they may get, up to so
-// many in a call.
+// Maximum number of workers without free room in a call. They are named because
+// room may become free there.
 constexpr std::size_t kRoomlessNames = 10;
 
 struct Named {
   std::string id;
-  bool allowed = false;  // from an earlier answer, its ticket has lapsed
+  bool allowed = false;  // by an earlier reply whose ticket has expired
   bool has_room = false;
-  double fits = 0;  // tasks that have room now
+  double fits = 0;  // number of tasks that fit now
   double rank = 0;  // lower is better
 };
 
-// Without tickets for the workers of less urgent work nothing could be stopped
-// there when the time has come.
+// Preemption needs tickets too: without one for a worker, less urgent runs
+// there could not be stopped for this step.
 bool CouldPreempt(const Context& context,
                   const ReadyStep& ready,
                   const PlacementNeed& need,
@@ -62,12 +62,12 @@
         CountStarts(ready, placed, need, *candidate.worker, candidate.free);
     const auto there = placed.find(id);
     if (there != placed.end() && there->second >= ready.spec().spread) {
-      continue;  // no task of the step may start there
+      continue;  // the spread limit is reached
     }
     const bool has_room = HasRoomNow(need, candidate) ||
                           CouldPreempt(context, ready, need, candidate);
     const bool known = ticket != step.tickets.end();
-    // Asking again makes sense only where a task would start at once.
+    // A further call is useful only for workers where a task starts at once.
     const bool asked = step.advised_at != kForever;
     if ((known && IsValid(context, ticket->second)) || (asked && !has_room)) {
       continue;
@@ -77,7 +77,8 @@
                      .allowed = known,
                      .has_room = has_room,
                      .fits = fits,
-                     // Work in a hurry wants fast workers; other work few.
+                     // Steps with a speed weight prefer fast workers, others
+                     // those where many tasks fit.
                      .rank = need.speed_weight > 0
                                  ? PlacementCost(need, candidate)
                                  : -fits});
@@ -99,7 +100,6 @@
   return ticket.expires > context.now + kTicketMargin;
 }
 
-// How many tasks of the step have room at workers with a ticket.
 std::int64_t CountTicketed(const Context& context, const ReadyStep& ready) {
   const PlacementNeed need = NeedOf(ready);
   const auto placed = CountPlaced(ready);
@@ -109,7 +109,8 @@
     if (listed == context.state.workers.end() || !IsValid(context, ticket)) {
       continue;
     }
-    // Room at a worker that placement passes over would be enough for ever.
+    // Workers that placement does not use are not counted: their room would
+    // always seem to be enough, and no more workers would be queried.
     const RoomView* view = UsableView(context.state, worker, listed->second);
     if (view != nullptr) {
       fits += CountStarts(ready, placed, need, listed->second.info, view->free);
@@ -122,8 +123,7 @@
                                      const ReadyStep& ready,
                                      CandidatesByService& candidates) {
   std::vector<Named> names = NamesFor(context, ready, candidates);
-  // Equal ones in another order each time, so that not all steps ask for the
-  // same workers.
+  // Shuffles workers of equal rank so that not all steps name the same ones.
   std::shuffle(names.begin(), names.end(), context.state.random);
   std::stable_sort(
       names.begin(), names.end(), [](const Named& left, const Named& right) {
--- a/Source/engine/advice/advised_names.h
+++ b/Source/engine/advice/advised_names.h
@@ -1,4 +1,4 @@
-// Which workers a call for advice on a step names.
+// Chooses the workers that a call to the advice service names for a step.
 #ifndef BURDOCKROCK_ENGINE_ADVICE_ADVISED_NAMES_H_
 #define BURDOCKROCK_ENGINE_ADVICE_ADVISED_NAMES_H_
 
@@ -14,19 +14,20 @@
 
 namespace burdockrock::engine {
 
-// Collected once for all steps that are asked for in one look.
+// Candidates by service, collected once for all calls of one check.
 using CandidatesByService = std::map<std::string, std::vector<Candidate>>;
 
-// Tasks of the step that need a worker.
+// Number of tasks of the step that need a worker.
 std::size_t CountWaiting(const StepRun& step);
 
-// The ticket can still be used for a start.
+// Whether the ticket is valid long enough to start a task with it.
 bool IsValid(const Context& context, const StepTicket& ticket);
 
-// How many tasks of the step have room at workers with a ticket.
+// How many tasks of the step fit at workers with a valid ticket.
 std::int64_t CountTicketed(const Context& context, const ReadyStep& ready);
 
-// The best first; empty when a call is not worth its turn.
+// Ids of the workers to name, the best first; empty when the call is not worth
+// its service time.
 std::vector<std::string> ChooseNames(Context& context,
                                      const ReadyStep& ready,
                                      CandidatesByService& candidates);
