--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -1,5 +1,5 @@
-// Which instances make the calls for advice when some of them are busy, gone or
-// out of reach.
+// Choice of the instances that make advice calls when some are busy, lost or
+// unreachable.
 #include <algorithm>
 #include <map>
 #include <string>
@@ -36,7 +36,7 @@
           .advice = advice};
 }
 
-// From handing in to the first tickets, of each job.
+// Measures the time from submission to the first tickets of each job.
 class AdviceTimes {
  public:
   explicit AdviceTimes(Fleet& fleet) : fleet_(fleet) {}
@@ -89,13 +89,13 @@
 
 }  // namespace
 
-// During 6 s for which one of three domains was cut off, 395 questions for
-// advice were given up, 303 of them put to members in the cut domain: 250 had
-// gone to the few instances that make short calls, all of which were in that
-// domain, as the first by name. Each question waited 1.5 s beyond its time
-// before it was asked anew, and again for a member that had been silent for 2
-// to 4 s. Here the cut members stay registered.
-TEST_CASE("Advice comes soon though a domain is cut off") {
+// Guards against queries that are sent to members of a failure domain which is
+// cut off while they are still registered. In 6 s with one of three domains cut
+// off, 395 queries were given up, 303 of them sent into that domain: 250 to the
+// few instances that make short calls, all of which were in it, being the first
+// by name. Each was repeated only 1.5 s after it was due, and again to a member
+// that had been unresponsive for 2 to 4 s.
+TEST_CASE("Advice arrives in time although a failure domain is cut off") {
   Fleet fleet({.domains = {"a", "a", "a", "b", "b", "b", "c", "c", "c"},
                .instances = 9,
                .workers = 18,
@@ -117,10 +117,11 @@
   CHECK(ShareWithin(spans, milliseconds(150)) >= 0.8);
 }
 
-// 225 of 813 questions that were given up had been put to an instance that had
-// gone meanwhile; 18 of 30 had lost power for half a second and were back under
-// new names. The asker knew that at once and waited for 1.5 s all the same.
-TEST_CASE("A question is asked anew as soon as its caller has gone") {
+// Guards against waiting for the reply of a lost instance. 18 of 30 instances
+// lost power for half a second and registered as new incarnations; the senders
+// knew that at once but waited 1.5 s more. 225 of 813 queries that were given
+// up had such a receiver.
+TEST_CASE("An advice query is repeated as soon as its receiver is lost") {
   Fleet fleet({.instances = 9, .workers = 18, .advice = true});
   fleet.SetQueue(QueueOf(kLong));
   fleet.Settle();
@@ -155,9 +156,10 @@
   CHECK(questions.begin()->second.asked > killed);
 }
 
-// 18 instances lost power, and the others went on calling for them: the steps'
-// new owners asked again, and waited behind calls whose answers nobody took.
-TEST_CASE("A call for advice is not made for an instance that has gone") {
+// Guards against calls for lost instances. When 18 instances had lost power,
+// the others still made their calls, and the queries of the steps' new owners
+// waited behind calls whose replies nobody received.
+TEST_CASE("No advice call is made for a lost instance") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
@@ -179,13 +181,13 @@
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j1.0.0");
 }
 
-// From 12 to 20 s of a day with a burst of urgent jobs their calls for advice
-// waited 0.5 to 0.9 s at the median beside the service's time, with 0.4 s of
-// slack: they queued at the 7 instances of 30 that make only short calls, at
-// 0.43 s as these told, because the others told 0.87 s, of long calls. Here
-// short calls fill 8 of 20 instances' turns, and the long ones wait for some
-// seconds.
-TEST_CASE("Short calls for advice keep their pace in a burst of them") {
+// Guards against short calls that queue at the instances that make only short
+// calls because the reported waits of the others are those of long calls. In a
+// burst of urgent jobs with 0.4 s of slack, their calls waited 0.5 to 0.9 s at
+// the median, besides the service's time, at 7 of 30 instances that reported
+// 0.43 s, while the others reported 0.87 s. Here short calls fill the queues of
+// 8 of 20 instances, and long ones wait for some seconds.
+TEST_CASE("Short advice calls are made in time in a burst of them") {
   Fleet fleet({.instances = 20, .workers = 40, .advice = true});
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("u", 0, kShort);
@@ -214,19 +216,20 @@
   const auto urgent = times.Of("u");
   CHECK(ShareWithin(urgent, milliseconds(480)) >= 0.95);
   CHECK(ShareWithin(times.Of("q"), milliseconds(3500)) >= 0.8);
-  // Long calls that were given up 1.5 s after they were due lost their place
-  // again and again: 0.87 within 5 s, and on two days steps had no answer for
-  // 20 to 30 s while others got theirs.
+  // Guards against long calls that are given up 1.5 s after they were due and
+  // so lose their place in the queue each time: only 0.87 were answered within
+  // 5 s, and some steps had no reply for 20 to 30 s.
   CHECK(ShareWithin(times.Of("q"), seconds(5)) >= 0.97);
 }
 
-// After a power cut of a whole fleet calls of one queue filled 28 of 44
-// instances' turns for 30 s, and the next queue's were overtaken: 1,780 of its
-// questions were given up, 356 answered. Whoever asked again had lost his
-// place, and 57 steps that had been accepted up to 60 s before did not run at
-// the end of the day; one of them had asked for 33 s. Here calls of one queue
-// would fill all turns that there are for long ones.
-TEST_CASE("Calls for less urgent work get their turn") {
+// Guards against starvation of the calls for less urgent work. After a power
+// cut of a whole fleet, calls of one queue kept 28 of 44 instances busy for 30
+// s. They overtook those of the next queue, which lost their place with each
+// repetition: 1,780 of its queries were given up and 356 answered, and 57 of
+// its steps, accepted up to 60 s before, did not run, one of them with queries
+// for 33 s. Here calls of one queue would occupy all instances that make long
+// calls.
+TEST_CASE("Advice calls for less urgent work are not starved") {
   Fleet fleet({.instances = 5, .workers = 20, .advice = true});
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("r", 2);
@@ -248,11 +251,12 @@
   CHECK(ShareWithin(times.Of("r"), seconds(5)) == 1);
 }
 
-// For 6 s 14 of 30 instances were short of processor time, and calls that take
-// the service 40 ms came back 0.4 to 0.8 s late to them, while the others got
-// theirs 10 ms late. They told waits by the expected times, so questions went
-// on to queue there: 114 short ones were given up in 4 s.
-TEST_CASE("A caller whose answers come late tells a longer wait") {
+// Guards against queries that queue at instances short of processor time. 14 of
+// 30 such instances received the service's answers 0.4 to 0.8 s late for calls
+// of 40 ms, the others 10 ms late. With waits reported by the expected times
+// alone, queries continued to go there, and 114 short ones were given up in 4
+// s.
+TEST_CASE("A member that receives advice late reports a longer wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   fleet.advice_takes = [&](const AdviceRequest&) { return milliseconds(600); };
@@ -263,7 +267,7 @@
                          .expected = milliseconds(40),
                          .workers = {"w0-1"}});
   }
-  fleet.Run(milliseconds(1300));  // two of them are answered
+  fleet.Run(milliseconds(1300));  // two of the calls are answered
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) > milliseconds(800));
   fleet.Run(milliseconds(1200));
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) > milliseconds(300));
@@ -271,12 +275,12 @@
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) == Duration(0));
 }
 
-// A lasting task that had failed 13 s after the loss of power of a whole fleet
-// waited 8.6 s for advice, 77 to 100 places at workers beside it: its question
-// stood behind those of batches, which have longer to wait. It is to be at work
-// again 6 s after its end. Here batches fill all turns that there are for long
-// calls and a third more.
-TEST_CASE("Advice for lasting tasks comes before that for batches") {
+// Guards against a lasting task that waits for advice behind batches, which may
+// wait longer. It must run again 6 s after its end, but waited 8.6 s for
+// advice, with room for 77 to 100 tasks at the workers, when it had failed 13 s
+// after a power cut of a whole fleet. Here batches need a third more than the
+// capacity for long calls.
+TEST_CASE("Advice calls for lasting tasks precede those for batches") {
   Fleet fleet({.instances = 5, .workers = 20, .advice = true});
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("l", 1);
@@ -295,13 +299,13 @@
     fleet.Run(milliseconds(200));
   }
   fleet.Run(seconds(10));
-  // A call that is under way, and its own.
+  // The call in flight, and its own.
   CHECK(ShareWithin(times.Of("l"), milliseconds(2500)) == 1);
 }
 
-// A caller that had been late was avoided until its next digest, up to 5 s at
-// an instance at rest, though its late answer had come meanwhile.
-TEST_CASE("A late answer shows that its sender lives") {
+// Guards against a member that is avoided as unresponsive until its next
+// digest, up to 5 s at an idle instance, although its late reply has arrived.
+TEST_CASE("A late advice reply shows that its sender is responsive") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   fleet.Run(milliseconds(300));
@@ -316,9 +320,9 @@
   CHECK(advice.urgent_waits.at("n1-1") == milliseconds(40));
 }
 
-// An instance that has just registered asks members whose list does not name it
-// yet. They took it for one that has gone and dropped its question.
-TEST_CASE("A question of a member that is not known yet is put") {
+// An instance that has just registered sends queries to members that have not
+// yet read its registration. They must not take it for lost and drop the query.
+TEST_CASE("An advice call is made for a member that is not listed yet") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
--- a/Tests/engine/advice_test.cc
+++ b/Tests/engine/advice_test.cc
@@ -1,4 +1,5 @@
-// Steps that may use only advised workers, and how many of them they ask for.
+// Steps that may run only on advised workers, and the size of their advice
+// calls.
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -19,13 +20,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Two gangs of a quiet day had nothing running at its end, 58 s after one of
-// them had been accepted, with most of the workers' room free. The room at
-// workers with tickets was counted whole, and placement leaves a share of it to
-// more urgent work: what seemed enough never was, and no more workers were
-// asked for. Here 30 workers have room for 60 members by the one count and for
-// 30 by the other, and the gang has 40.
-TEST_CASE("A gang asks for as many workers as placement needs") {
+// Guards against a gang that never starts although most of the room is free.
+// Placement leaves a share of the room to more urgent work. If the room at
+// workers with tickets is counted in full, it seems to be enough and no more
+// workers are queried. Here 30 workers have room for 60 tasks by the full count
+// and for 30 by that of placement, and the gang has 40.
+TEST_CASE("A gang requests advice for as many workers as placement needs") {
   Fleet fleet({.workers = 60, .advice = true});
   QueuePolicy queue{.name = "q",
                     .host = "h",
@@ -47,12 +47,13 @@
   CHECK(CountEnds(fleet, RunEnd::kDone) == 40);
 }
 
-// A lasting task was moved off a worker that was to leave, and did not run for
-// the 9 s until the end of its job, with room for it. Its step allows one task
-// a worker; the workers with tickets had room and one task each. That room
-// counted as enough, and when the tickets had lapsed the same workers were
-// asked for.
-TEST_CASE("A step that spreads asks for workers that it does not use yet") {
+// Guards against a lasting task that is moved off a worker which is to leave
+// and then does not run, though there is room. Its step allows one task a
+// worker, and the workers with tickets have room but one task each. If that
+// room counts as enough, the same workers are queried again when the tickets
+// have expired.
+TEST_CASE(
+    "A step with a spread limit queries workers that it does not use yet") {
   Fleet fleet({.workers = 40, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -73,12 +74,12 @@
   CheckPromises(fleet);
 }
 
-// A job of one task had no run at all 48 s after it was accepted, with most of
-// the room of the 13 workers of its service free. The first call for advice
-// named 12 of them and all were ruled out. Another call had to promise one
-// start, and the last worker, which has room for two tasks, promised 0.8 by the
-// chance that it may run the step: it was never asked for.
-TEST_CASE("The last workers are asked for however little they promise") {
+// Guards against a job that never starts although most of the room of its 13
+// workers is free. The first advice call names 12 of them and all are denied.
+// A further call needs one expected start, and the last worker, with room for
+// two tasks, has 0.8 by its chance to be allowed: it must be queried all the
+// same.
+TEST_CASE("The last workers are queried with any number of expected starts") {
   Fleet fleet({.workers = 13, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(500)});
@@ -92,10 +93,11 @@
   CHECK(CountEnds(fleet, RunEnd::kDone) == 1);
 }
 
-// A step of 20 tasks shares its service with work that takes what gets free. A
-// call for advice had to promise a start for three in ten of the tasks that
-// wait; room for one or two at a time is free all day, never for six.
-TEST_CASE("A wide step takes the little room that gets free") {
+// A step of 20 tasks shares its service with work that takes all room that
+// becomes free. If each advice call needs expected starts for three in ten of
+// the waiting tasks, the step never starts: there is room for one or two tasks
+// at a time, never for six.
+TEST_CASE("A wide step uses small amounts of room that become free") {
   Fleet fleet({.workers = 13, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -108,11 +110,12 @@
   CHECK(CountRuns(fleet, "j2") >= 15);
 }
 
-// On a quiet day at 44 instances nearly all tasks that waited for over a second
-// had a question for advice out, `cause=advice` with no ticket and no worker
-// ruled out after 4 s: whoever asked had given the question up and asked again,
-// and the service worked on both. It was busy for 1,377 s of 2,244.
-TEST_CASE("A call for advice that nobody waits for any more is not made") {
+// Guards against calls for queries that were given up: the sender has repeated
+// the query, and the service works on both. At 44 instances the service was
+// then busy for 1,377 s of 2,244, and nearly all tasks that waited for over a
+// second waited for a reply: `cause=advice`, no ticket and no worker denied
+// after 4 s.
+TEST_CASE("No advice call is made for a query that was given up") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
@@ -139,9 +142,9 @@
   return static_cast<double>(n) / static_cast<double>(spans.size());
 }
 
-// From handing in to the first start, of single tasks that come 16 times a
-// second to 20 instances. A call for them takes 0.82 s, so 13 instances would
-// be busy with them.
+// Times from submission to first start of single tasks, submitted 16 times a
+// second to 20 instances. An advice call for them takes 0.82 s, which keeps 13
+// instances busy.
 std::vector<Duration> PlayLongCalls() {
   Fleet fleet({.instances = 20, .workers = 40, .advice = true});
   fleet.SetQueue({.name = "q",
@@ -183,18 +186,18 @@
   return spans;
 }
 
-TEST_CASE("Long calls for advice are shared out over most instances") {
+TEST_CASE("Long advice calls are spread over most instances") {
   const auto spans = PlayLongCalls();
   CHECK(ShareWithin(spans, milliseconds(1200)) >= 0.85);
   CHECK(ShareWithin(spans, milliseconds(2500)) >= 0.98);
 }
 
-// On the quiet day of 44 instances the service worked for 1,475 s, five times
-// as long as one call for each step would take: a wide step got fewer starts
-// out of a call of 30 workers than it has tasks, and asked again and again.
-// Deciding takes the service 70 times as long as one worker more. Here four in
-// ten workers are allowed and have room for two tasks each.
-TEST_CASE("A wide step asks once for as many workers as it needs") {
+// Guards against repeated calls for a wide step that gets fewer starts from a
+// call of 30 workers than it has tasks. At 44 instances the service worked for
+// 1,475 s, five times as long as one call for each step takes; a decision takes
+// it 70 times as long as one more worker. Here four in ten workers are allowed
+// and have room for two tasks each.
+TEST_CASE("A wide step queries all the workers that it needs in one call") {
   Fleet fleet({.workers = 120, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(1000)});
@@ -213,10 +216,9 @@
   CHECK(CountRuns(fleet, "j1") == 40);
 }
 
-// One share of allowed workers was reckoned with for all queues: 0.4 where one
-// queue allows 0.7, and calls for it named a third more workers than they had
-// to.
-TEST_CASE("The share of allowed workers is learned from a queue's answers") {
+// With one share of allowed workers for all queues, 0.4, calls for a queue that
+// allows 0.7 name a third more workers than needed.
+TEST_CASE("The share of allowed workers is learned from a queue's replies") {
   AllowedShare share;
   for (int it = 0; it < 20; ++it) {
     share.Learn(21, 30);
@@ -232,9 +234,9 @@
   Duration service_per_step{0};
 };
 
-// Steps of 14 tasks of 9 cores and 6 s come every 225 ms to 12 instances and
-// fill two thirds of the room of 160 workers. 35 in 100 workers are allowed. A
-// call takes 494 ms and 7 ms more for each worker.
+// Load of steps of 14 tasks of 9 cores and 6 s, submitted every 225 ms to 12
+// instances, which fill two thirds of the room of 160 workers. 35 in 100
+// workers are allowed. A call takes 494 ms plus 7 ms for each worker.
 WideLoad PlayWideSteps() {
   const AdvicePolicy policy{.decision = milliseconds(494),
                             .each = milliseconds(7),
@@ -280,28 +282,28 @@
           .service_per_step = time / kSteps};
 }
 
-// Under trouble three in four tasks that waited beside room waited for advice.
-// Of the 910 s that the service worked in a minute 336 s were for steps whose
-// tickets had too little room left, with 4 starts a call: a first call for 14
-// tasks named 21 workers with room for 71, of which 7 were allowed in place of
-// the 8 that were reckoned with, and other steps, which had named the same
-// empty workers, had left room for 12 on them.
+// Guards against first calls that name too few workers. A call for 14 tasks
+// named 21 workers with room for 71 tasks: 7 were allowed instead of the
+// expected 8, and other steps, which had named the same idle workers, left room
+// for 12 tasks there. Further calls for such steps took 336 of the service's
+// 910 s in a minute with 4 starts a call, and three in four tasks that waited
+// despite free room waited for advice.
 TEST_CASE("A first call names enough workers for a step under load") {
   const WideLoad load = PlayWideSteps();
   INFO(load.calls_per_step, " calls a step, ",
        ToMilliseconds(load.service_per_step), " ms of the service a step, ",
        load.starts_per_call, " starts a call");
   CHECK(load.calls_per_step <= 1.25);
-  // One call that names all of the 60 workers.
+  // The time of one call with 60 workers.
   CHECK(load.service_per_step <= milliseconds(494 + 60 * 7));
 }
 
-// A job of two steps of 6 s, whose estimates say 4 s. Asked for ahead of its
-// turn, the second step's tickets lapsed, were asked for again, and lapsed
-// again: on a day with trouble 256 of 1,700 s of the service went to that. The
-// job may take 2.2 times as long as its chain, so a call in its turn is soon
-// enough.
-TEST_CASE("A step with time to spare asks for advice in its turn") {
+// A job of two steps of 6 s with estimates of 4 s. If the advice for the second
+// step is requested before the step is ready, its tickets expire, are requested
+// again and expire again: 256 of 1,700 s of the service's time went to that.
+// The job may take 2.2 times as long as its chain, so a call when the step is
+// ready is early enough.
+TEST_CASE("A step with slack requests advice when it is ready") {
   Fleet fleet({.workers = 12, .advice = true});
   QueuePolicy queue{.name = "q",
                     .host = "h",
@@ -329,9 +331,9 @@
   CHECK(calls == 2);
 }
 
-// Short work has less slack than a call takes with its wait, so its next step
-// has tickets when its turn comes.
-TEST_CASE("A step without time to spare asks for advice ahead of its turn") {
+// Short work has less slack than an advice call takes with its wait, so its
+// next step needs tickets when it becomes ready.
+TEST_CASE("A step without slack requests advice before it is ready") {
   Fleet fleet({.workers = 12, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(500)});
@@ -346,8 +348,9 @@
   Duration mean_wait{0};
 };
 
-// Steps of ten tasks of 0.8 s come 100 times a second to 30 instances and fill
-// 0.63 of the room of 180 workers; 7 in 10 workers are allowed.
+// Load of steps of ten tasks of 0.8 s, submitted 100 times a second to 30
+// instances, which fill 0.63 of the room of 180 workers. 7 in 10 workers are
+// allowed.
 ShortLoad PlayShortSteps() {
   Fleet fleet({.instances = 30,
                .workers = 180,
@@ -391,21 +394,22 @@
           .mean_wait = waits / static_cast<std::int64_t>(fleet.seen.size())};
 }
 
-// Of 44,269 offers to the owners of workers on a quiet day 20,489 were refused
-// for want of room, and steps whose tickets ran out of room that way asked for
-// advice again. What is known of another owner's worker is up to 0.8 s old, and
-// the fullest worker with room for the task was taken first, by all instances.
-TEST_CASE("Few offers to other owners find no room") {
+// Guards against offers that are refused for lack of room, which also cause
+// further advice calls for steps whose tickets have no room left. The known
+// room of another owner's worker is up to 0.8 s old. When all instances chose
+// the fullest worker with room for the task first, 20,489 of 44,269 offers were
+// refused.
+TEST_CASE("Few offers to other owners are refused for lack of room") {
   const ShortLoad load = PlayShortSteps();
-  INFO(ToMilliseconds(load.mean_wait), " ms from handing in to the start");
+  INFO(ToMilliseconds(load.mean_wait), " ms from submission to the start");
   CHECK(load.refused <= 0.25);
 }
 
-// Gangs asked for advice 8 times each and up to 34 times, 1,204 of the 1,574 s
-// that the service worked on the quiet day of 44 instances, and single tasks
-// waited behind them. Most of the calls named fewer workers with room than the
-// gang has members, so they could not have started it whatever the answer.
-TEST_CASE("A gang asks only when there is room for all of it") {
+// Guards against advice calls that can't start a gang whatever the reply,
+// because they name fewer workers with room than the gang has tasks. Gangs made
+// 8 calls each and up to 34, which took 1,204 of the service's 1,574 s at 44
+// instances, and single tasks waited behind them.
+TEST_CASE("A gang requests advice only when there is room for all of it") {
   Fleet fleet({.workers = 13, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
--- a/Tests/engine/messages_test.cc
+++ b/Tests/engine/messages_test.cc
@@ -1,5 +1,4 @@
-// How much instances tell each other, and that a message that is lost does no
-// lasting harm.
+// Volume of the messages between instances, and recovery from lost messages.
 #include <algorithm>
 #include <set>
 #include <string>
@@ -22,7 +21,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Messages of one kind that were sent between instances.
+// Records the messages of one type that instances send.
 template <typename Message>
 struct Counter {
   explicit Counter(Fleet& fleet) {
@@ -35,10 +34,10 @@
   std::vector<Message> sent{};
 };
 
-// An instance with 40 jobs a second in its fleet sent 18 stops a second though
-// no job was cancelled. Each task that had ended was stopped once more, and the
-// worker's owner, which no longer found the run, told its end a second time: 59
-// messages with ends and 37 with stops a second where 30 with ends suffice.
+// Guards against stops for runs that have ended. The worker's owner no longer
+// finds such a run and reports its end a second time: at 40 jobs a second, an
+// instance sent 59 messages with ends and 37 with stops a second, where 30 with
+// ends are enough.
 TEST_CASE("A task that has ended is not stopped") {
   Fleet fleet;
   fleet.Settle();
@@ -50,7 +49,7 @@
   CheckPromises(fleet);
 }
 
-// `node` knows the room of all workers of `owner`.
+// Whether `node` knows the current room of all workers of `owner`.
 bool KnowsRoomOf(const Fleet& fleet,
                  const std::string& node,
                  const std::string& owner) {
@@ -61,10 +60,10 @@
   });
 }
 
-// All rooms were told each second, 85 KB a second of an instance with nothing
-// to do at 30 instances. Since they are not any more, one that missed a change
-// must notice by the sequence and ask, or it offers in vain for ever.
-TEST_CASE("Who missed a change of room asks for the whole") {
+// Digests hold only changes: all rooms each second took 85 KB a second of an
+// idle instance among 30. A member that missed a change must therefore notice
+// it by the sequence, or its offers are refused without end.
+TEST_CASE("A member that missed a change of room requests a whole digest") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
@@ -82,10 +81,10 @@
   CHECK(asks.sent.size() == 1);
 }
 
-// The room for an offer is set aside in the view of whoever offers, and comes
-// back with the worker's next change. When the offer is lost there is no
-// change.
-TEST_CASE("Room that was set aside for a lost offer comes back") {
+// The sender of an offer reserves the room in its own view until the worker's
+// next change. A lost offer causes no change, so the reservation could stay
+// without end.
+TEST_CASE("Room that was reserved for a lost offer is released") {
   Fleet fleet;
   fleet.Settle();
   fleet.is_cut = [](const std::string& from, const std::string& to) {
@@ -101,10 +100,11 @@
   CHECK(KnowsRoomOf(fleet, "n0", "n1"));
 }
 
-// 320 of 707 offers were refused at an instance of a grown site. A task that is
-// refused went elsewhere only after 20 ms, and the view of the worker that had
-// refused stayed wrong until the next digest.
-TEST_CASE("A refusal says what room there is, and the task goes elsewhere") {
+// Guards against repeated refusals: without the room in the reply, the sender's
+// view of the worker stays wrong until the next digest (320 of 707 offers were
+// refused at one instance), and a refused task is offered elsewhere only after
+// 20 ms.
+TEST_CASE("A refusal reports the room, and the task is offered elsewhere") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
@@ -126,10 +126,10 @@
   CheckPromises(fleet);
 }
 
-// In a large fleet the members' waits for the advice service are told late. All
-// instances took the first of those that were told idle: short calls queued
-// there while others had nothing to do.
-TEST_CASE("Calls for advice at one moment go to several members") {
+// In a large fleet the reported waits for the advice service are old. If all
+// instances choose the first member that is reported idle, short calls queue
+// there while other members are idle.
+TEST_CASE("Simultaneous advice calls go to several members") {
   Fleet fleet({.instances = 9, .workers = 18, .advice = true});
   fleet.Settle();
   std::set<std::string> asked;
@@ -148,9 +148,10 @@
   CHECK(asked.size() == 3);
 }
 
-// The wait that a member's digest had told was believed until the next one, 770
-// ms later at 30 members, though its answers came meanwhile.
-TEST_CASE("An answer with advice tells the member's wait") {
+// Guards against use of an outdated wait: without the wait in the replies, the
+// one of the last digest counts until the next digest, 770 ms later at 30
+// members.
+TEST_CASE("An advice reply reports the member's wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
   fleet.Tell("n1", "n0-1",
@@ -175,7 +176,7 @@
   CHECK(fleet.state("n1").advice.waits.at("n0-1") < seconds(1));
 }
 
-TEST_CASE("Rooms are read back as they were written, and are short") {
+TEST_CASE("Rooms are decoded as they were encoded, and are compact") {
   const std::vector<WorkerRoom> rooms = {
       {.worker = "w1",
        .fence = 7,
@@ -202,12 +203,12 @@
         R"(9,["w3",0,2]])");
 }
 
-// An instance knew a job's former owner, a member still, and missed the
-// questions of the present one and its offer. It then answered none of its
-// questions about the run, since a former owner must not hear that a run is not
-// there, and two jobs of a run of random faults stood still for 50 s, a task of
-// each offered.
-TEST_CASE("Who knows a job's former owner learns of the present one") {
+// An instance knows a job's former owner, which is still a member, and misses
+// the present owner's queries and its offer. A former owner must not be told
+// that a run is absent, so without the present generation the instance answers
+// none of the run queries, and the job stalls (two jobs for 50 s under random
+// faults, with one task of each offered).
+TEST_CASE("A member that knows a job's former owner learns the present one") {
   Fleet fleet;
   fleet.Settle();
   fleet.Tell("n1", "n2-1", AdoptQuery{.jobs = {{"j1", 1}}});
@@ -222,9 +223,9 @@
   CheckPromises(fleet);
 }
 
-// A member of the release before tells one wait, for calls of any priority.
-// Read as no wait at all for urgent ones, it drew all of them.
-TEST_CASE("Who tells one wait for advice tells it for urgent calls, too") {
+// A member of the previous release reports one wait for calls of any priority.
+// If that were read as no wait for urgent calls, all of them would go to it.
+TEST_CASE("A single reported advice wait also counts for urgent calls") {
   Json::Value params = EncodePeerNotification(
       "n1-2", RoomDigest{.advice_wait = milliseconds(700),
                          .advice_urgent_wait = milliseconds(40)})["params"];
@@ -235,7 +236,7 @@
   CHECK(read.advice_urgent_wait == milliseconds(700));
 }
 
-TEST_CASE("A damaged room is refused") {
+TEST_CASE("A malformed room is refused") {
   const Json::Value good = EncodePeerNotification(
       "n1-2", RoomDigest{.workers = {{.worker = "w1", .fence = 7}}});
   const char* const damaged[] = {"[[]]",
--- a/Tests/engine/planned_stop_test.cc
+++ b/Tests/engine/planned_stop_test.cc
@@ -17,7 +17,7 @@
 
 constexpr Duration kBetweenRequests = milliseconds(7);
 
-// Asks one node for everything that callers ask, until it is gone.
+// Sends requests of all kinds to one node until it has stopped.
 class Callers {
  public:
   Callers(Fleet& fleet, std::string node)
@@ -70,7 +70,8 @@
   };
 }
 
-// n0 has handed over a job, j1, whose tasks run on until they are stopped.
+// n0 starts a planned stop and hands over job j1, whose tasks run until they
+// are stopped.
 void StopAfterStart(Fleet& fleet) {
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -83,9 +84,8 @@
 
 }  // namespace
 
-// Guards against requests that are cut when the process ends.
-TEST_CASE(
-    "A planned stop leaves no request unanswered, whatever the store does") {
+// Guards against requests that are lost when the process ends.
+TEST_CASE("A planned stop answers all requests, whatever the store does") {
   for (const StoreFault fault :
        {StoreFault::kNone, StoreFault::kRefuse, StoreFault::kSilent,
         StoreFault::kLoseAnswer}) {
@@ -108,7 +108,7 @@
 }
 
 // Guards against two stopping instances that wait for each other.
-TEST_CASE("Planned stops of two instances leave no request unanswered") {
+TEST_CASE("Planned stops of two instances answer all requests") {
   for (const int apart_ms : {0, 500, 1200, 1900}) {
     CAPTURE(apart_ms);
     Fleet fleet;
@@ -131,7 +131,7 @@
 }
 
 // Guards against cancels that wait for a write which is never made.
-TEST_CASE("A cancel that comes after the hand-over is taken by the new owner") {
+TEST_CASE("The new owner takes a cancel that arrives after the hand-over") {
   Fleet fleet;
   StopAfterStart(fleet);
   CancelNow(fleet, "n0", "j1");
@@ -142,9 +142,8 @@
                     [](const SeenRun& it) { return it.ended != kForever; }));
 }
 
-// Guards against states that were true before the hand-over.
-TEST_CASE(
-    "A question after the hand-over sees a cancel that another one took") {
+// Guards against replies with the state from before the hand-over.
+TEST_CASE("A status after the hand-over shows a cancel of another instance") {
   Fleet fleet;
   StopAfterStart(fleet);
   CancelNow(fleet, "n1", "j1");
@@ -156,7 +155,8 @@
         CallerAnswer(JobShown{.state = JobState::kCancelled}));
 }
 
-// Guards against states that were read before the stop of the jobs' owner.
+// Guards against replies with states that were read before the jobs' owner
+// stopped.
 TEST_CASE("A stopping instance shows no state older than an acknowledged end") {
   constexpr int kJobs = 60;
   Fleet fleet;
@@ -198,7 +198,7 @@
   CHECK(stale == 0);
 }
 
-// Guards against states of jobs that were given up, told from memory.
+// Guards against replies from memory about jobs whose ownership was given up.
 TEST_CASE("A cut off instance shows no state of a job that it gave up") {
   Fleet fleet;
   StopAfterStart(fleet);
