--- a/Source/engine/members/digests.h
+++ b/Source/engine/members/digests.h
@@ -28,7 +28,7 @@
 // `from` requests a whole digest.
 void OnDigestAsk(Context& context, const std::string& from);
 
-// Requests a whole digest of the worker's owner, for example after a lost
+// Requests a whole digest from the worker's owner, for example after a lost
 // offer: the known room may be wrong, and without a change there no digest
 // would correct it.
 void DoubtRoom(Context& context, const std::string& worker);
--- a/Source/engine/members/peer_message.h
+++ b/Source/engine/members/peer_message.h
@@ -153,7 +153,7 @@
   auto operator<=>(const EndReports&) const = default;
 };
 
-// Identifies one EndReport that is stored.
+// Identifies an EndReport whose end is stored.
 struct StoredEnd {
   std::string worker{};
   std::uint64_t sequence = 0;
@@ -388,7 +388,7 @@
   auto operator<=>(const Parting&) const = default;
 };
 
-// Requests a whole digest of the receiver.
+// Requests a whole digest from the receiver.
 struct DigestAsk {
   auto operator<=>(const DigestAsk&) const = default;
 };
