--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -19,23 +19,23 @@
 
 // By the length of a usual call a step is asked for ahead of its turn. Tickets
 // for the largest calls would lapse before their use.
-constexpr std::size_t kUsualNames = 30;
+constexpr std::size_t kTypicalWorkers = 30;
 // An answer that does not come this long after it was due is asked for again. A
 // long call keeps its place in the member's order for longer.
 constexpr Duration kReplySlack = milliseconds(1500);
 constexpr Duration kLongReplySlack = milliseconds(4000);
 // A step's tickets are asked for this long before its turn, beside the time
 // that the call takes.
-constexpr Duration kAhead = milliseconds(400);
+constexpr Duration kRequestLead = milliseconds(400);
 // A step that may take this much longer than its estimate waits for its turn:
 // tickets that are asked for ahead of long steps lapse before their use.
 constexpr Duration kEnoughSlack = milliseconds(2500);
 // Between two questions about one step, beside the time of a decision.
-constexpr Duration kWiden = milliseconds(150);
+constexpr Duration kQueryInterval = milliseconds(150);
 
 // A member whose wait has grown since its last report declines, and the
 // question goes to another one at once. After so many in a row all are busy.
-constexpr std::uint32_t kMostDeclines = 3;
+constexpr std::uint32_t kMaxDeclines = 3;
 
 bool HasEnough(const Context& context, const ReadyStep& ready) {
   return CountTicketed(context, ready) >=
@@ -57,7 +57,7 @@
     return false;
   }
   return HasPassed(context.now, step.asked_at,
-                   kWiden + ready.queue->advice->decision) &&
+                   kQueryInterval + ready.queue->advice->decision) &&
          !HasEnough(context, ready);
 }
 
@@ -89,41 +89,42 @@
   if (!queue.advice || SlackOf(queue, step) >= kEnoughSlack) {
     return std::nullopt;
   }
-  return kAhead + ExpectedTime(*queue.advice, kUsualNames);
+  return kRequestLead + ExpectedTime(*queue.advice, kTypicalWorkers);
 }
 
-void AskFor(Context& context,
-            const ReadyStep& ready,
-            std::vector<std::string> workers) {
+void SendQuery(Context& context,
+               const ReadyStep& ready,
+               std::vector<std::string> workers) {
   AdviceState& advice = context.state.advice;
   const Duration expected = ExpectedTime(*ready.queue->advice, workers.size());
   // After a question without an answer only members that were heard since then
   // are asked: all of a domain are cut off at once.
-  const Time heard_since =
+  const Time updated_since =
       ready.run().unanswered ? ready.run().called_at : Time::min();
-  const std::string member =
-      ChooseCaller(context, ready.queue->priority, expected, heard_since);
+  const std::string member = ChooseAdviceCaller(context, ready.queue->priority,
+                                                expected, updated_since);
   const Duration wait = WaitAt(context, member, ready.queue->priority);
-  const Duration patience =
+  const Duration timeout =
       wait + expected + (IsLongCall(expected) ? kLongReplySlack : kReplySlack);
   const bool may_decline =
-      member != context.self() && ready.run().declines < kMostDeclines;
+      member != context.self() && ready.run().declines < kMaxDeclines;
   const std::uint64_t call = ++advice.last_call;
   ready.run().asked_at = context.now;
   ready.run().called_at = context.now;
   ready.run().asking = true;
   const TaskName step{
       .job = ready.job->id, .occurrence = ready.occurrence, .step = ready.step};
-  Send(context, member,
-       AdviceAsk{
-           .call = call,
-           .step = StepName(step),
-           .priority = ready.queue->priority,
-           .lasting = ready.spec().lasting,
-           .expected = expected,
-           .patience = patience,
-           .most_wait = may_decline ? wait + WaitDoubt(expected) : Duration(0),
-           .workers = workers});
+  Send(
+      context, member,
+      PeerAdviceRequest{.call = call,
+                        .step = StepName(step),
+                        .priority = ready.queue->priority,
+                        .lasting = ready.spec().lasting,
+                        .expected = expected,
+                        .timeout = timeout,
+                        .max_wait = may_decline ? wait + WaitTolerance(expected)
+                                                : Duration(0),
+                        .workers = workers});
   advice.questions.emplace(call,
                            AdviceQuestion{.step = step,
                                           .member = member,
@@ -133,39 +134,39 @@
                                           .expected = expected,
                                           .asked = context.now,
                                           .due = context.now + wait + expected,
-                                          .give_up = context.now + patience});
+                                          .give_up = context.now + timeout});
 }
 
 // To be called before the answer's tickets are taken.
-void LearnShare(const AdviceQuestion& question,
-                const AdviceReply& given,
-                const StepRun& step,
-                AllowedShare& share) {
+void UpdateShare(const AdviceQuestion& query,
+                 const AdviceReply& reply,
+                 const StepRun& step,
+                 AllowedShare& share) {
   std::size_t named = 0;
-  for (const std::string& it : question.workers) {
+  for (const std::string& it : query.workers) {
     named += step.tickets.contains(it) ? 0 : 1;
   }
   std::size_t allowed = 0;
-  for (const AdvisedWorker& it : given.allowed) {
+  for (const AdvisedWorker& it : reply.allowed) {
     allowed += step.tickets.contains(it.worker) ? 0 : 1;
   }
-  share.Learn(allowed, named);
+  share.Update(allowed, named);
 }
 
 void TakeTickets(Time now,
                  StepRun& step,
                  const AdvicePolicy& policy,
-                 const AdviceQuestion& question,
-                 const AdviceReply& given) {
+                 const AdviceQuestion& query,
+                 const AdviceReply& reply) {
   step.advised_at = std::min(step.advised_at, now);
   std::set<std::string> allowed;
-  for (const AdvisedWorker& it : given.allowed) {
+  for (const AdvisedWorker& it : reply.allowed) {
     allowed.insert(it.worker);
     step.tickets[it.worker] = StepTicket{.text = it.ticket,
                                          .expires = now + policy.valid,
-                                         .reason = question.reason};
+                                         .reason = query.reason};
   }
-  for (const std::string& it : question.workers) {
+  for (const std::string& it : query.workers) {
     if (!allowed.contains(it)) {
       step.denied.insert(it);
       step.tickets.erase(it);
@@ -174,43 +175,43 @@
 }
 
 // The step that was asked for is free to be asked for again.
-StepRun* EndQuestion(Context& context, const AdviceQuestion& question) {
-  Job* job = FindJob(context.state, question.step.job);
+StepRun* EndQuery(Context& context, const AdviceQuestion& query) {
+  Job* job = FindJob(context.state, query.step.job);
   if (job == nullptr) {
     return nullptr;
   }
-  StepRun& step = StepAt(*job, question.step.occurrence, question.step.step);
+  StepRun& step = StepAt(*job, query.step.occurrence, query.step.step);
   step.asking = false;
   return &step;
 }
 
-void CountAnswer(Context& context,
-                 const AdviceQuestion& question,
-                 const AdviceReply& reply,
-                 bool unused) {
+void CountReply(Context& context,
+                const AdviceQuestion& query,
+                const AdviceReply& reply,
+                bool unused) {
   if (reply.declined || reply.failed) {
     return;  // the service was not asked, or was asked in vain
   }
-  AdviceCount& count = context.state.totals.advice[question.reason];
+  AdviceCount& count = context.state.totals.advice[query.reason];
   ++count.calls;
-  count.names += question.workers.size();
+  count.names += query.workers.size();
   count.allowed += reply.allowed.size();
   count.unused += unused ? 1 : 0;
-  count.time += question.expected;
+  count.time += query.expected;
 }
 
-void GiveUpQuestions(Context& context) {
+void GiveUpOverdueQueries(Context& context) {
   std::erase_if(context.state.advice.questions, [&](const auto& it) {
-    const bool lost = IsLost(context, it.second);
+    const bool lost = IsQueryLost(context, it.second);
     if (context.now < it.second.give_up && !lost) {
       return false;
     }
-    if (StepRun* step = EndQuestion(context, it.second)) {
+    if (StepRun* step = EndQuery(context, it.second)) {
       step->unanswered = true;
       step->asked_at = Time::min();  // another member is asked at once
     }
     ++context.state.totals.advice[it.second.reason].given_up;
-    LeaveCaller(context, it.second);
+    AvoidAdviceCaller(context, it.second);
     return true;
   });
 }
@@ -221,15 +222,16 @@
   if (!IsRegistered(context.state)) {
     return;
   }
-  GiveUpQuestions(context);
+  GiveUpOverdueQueries(context);
   CandidatesByService candidates;
   for (const ReadyStep& it : ReadySteps(context, LeadOf)) {
     if (!NeedsAdvice(context, it)) {
       continue;
     }
-    std::vector<std::string> workers = ChooseNames(context, it, candidates);
+    std::vector<std::string> workers =
+        ChooseWorkersForAdvice(context, it, candidates);
     if (!workers.empty()) {
-      AskFor(context, it, std::move(workers));
+      SendQuery(context, it, std::move(workers));
     } else {
       it.run().asked_at = context.now;
     }
@@ -241,14 +243,14 @@
                    const AdviceReply& reply) {
   // Also for an answer that comes too late to be used: its member would be
   // avoided as silent until its next digest.
-  HearOfCaller(context, from, reply.wait, reply.urgent_wait);
+  UpdateAdviceCaller(context, from, reply.wait, reply.urgent_wait);
   auto node = context.state.advice.questions.extract(reply.call);
   if (node.empty()) {
     return;
   }
-  const AdviceQuestion& question = node.mapped();
-  StepRun* step = EndQuestion(context, question);
-  const Job* job = FindJob(context.state, question.step.job);
+  const AdviceQuestion& query = node.mapped();
+  StepRun* step = EndQuery(context, query);
+  const Job* job = FindJob(context.state, query.step.job);
   const QueuePolicy* queue =
       job == nullptr ? nullptr
                      : FindQueueByName(context.state.configuration, job->queue);
@@ -261,12 +263,12 @@
     step->declines = 0;
     step->unanswered = reply.failed;
   }
-  CountAnswer(context, question, reply, step == nullptr);
+  CountReply(context, query, reply, step == nullptr);
   if (reply.failed || step == nullptr || queue == nullptr || !queue->advice) {
     return;
   }
-  LearnShare(question, reply, *step, context.state.advice.shares[queue->name]);
-  TakeTickets(context.now, *step, *queue->advice, question, reply);
+  UpdateShare(query, reply, *step, context.state.advice.shares[queue->name]);
+  TakeTickets(context.now, *step, *queue->advice, query, reply);
   context.state.placement_due = true;
 }
 
--- a/Source/engine/advice/advice_callers.cc
+++ b/Source/engine/advice/advice_callers.cc
@@ -9,7 +9,7 @@
 
 #include <xxhash.h>
 
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 #include "engine/members/membership.h"
 
 namespace burdockrock::engine {
@@ -30,11 +30,11 @@
 
 // Told waits are late by up to the time between digests: differences below this
 // say nothing.
-constexpr Duration kWaitDoubt = milliseconds(250);
+constexpr Duration kWaitTolerance = milliseconds(250);
 
 // A member that owes an answer for this long and has sent neither a digest nor
 // an answer is not asked until it sends one: its registration outlasts a cut.
-constexpr Duration kSilence = milliseconds(300);
+constexpr Duration kReplyOverdue = milliseconds(300);
 
 struct Callers {
   std::vector<std::string> for_short{};  // make no long calls
@@ -47,18 +47,18 @@
          (members - few) / kFurtherPerShortCaller;
 }
 
-Time HeardAt(const Context& context, const std::string& member) {
-  const auto& heard = context.state.advice.heard;
-  const auto it = heard.find(member);
-  return it == heard.end() ? Time::min() : it->second;
+Time LastUpdateOf(const Context& context, const std::string& member) {
+  const auto& updates = context.state.advice.heard;
+  const auto it = updates.find(member);
+  return it == updates.end() ? Time::min() : it->second;
 }
 
-bool MayAnswer(const Context& context,
-               const std::string& member,
-               Time heard_since) {
+bool IsResponsive(const Context& context,
+                  const std::string& member,
+                  Time updated_since) {
   return member == context.self() ||
          (!context.state.advice.silent.contains(member) &&
-          HeardAt(context, member) >= heard_since);
+          LastUpdateOf(context, member) >= updated_since);
 }
 
 // In the same order everywhere, which mixes the domains: the first ones by name
@@ -81,14 +81,14 @@
   return members;
 }
 
-Callers CallersOf(const Context& context, Time heard_since) {
+Callers CallersOf(const Context& context, Time updated_since) {
   const std::vector<std::string> members = MembersInOrder(context);
   const std::size_t short_callers = CountShortCallers(members.size());
   Callers callers;
   for (std::size_t it = 0; it < members.size(); ++it) {
-    if (MayAnswer(context, members[it], heard_since)) {
-      auto& those = it < short_callers ? callers.for_short : callers.for_all;
-      those.push_back(members[it]);
+    if (IsResponsive(context, members[it], updated_since)) {
+      auto& group = it < short_callers ? callers.for_short : callers.for_all;
+      group.push_back(members[it]);
     }
   }
   if (callers.for_all.empty()) {
@@ -116,7 +116,7 @@
     // Instances whose random numbers are alike choose differently all the same.
     const std::uint64_t chance =
         std::hash<std::string>()(context.self() + it) ^ context.state.random();
-    const std::tuple rank(wait / kWaitDoubt, it != context.self(), chance);
+    const std::tuple rank(wait / kWaitTolerance, it != context.self(), chance);
     if (best.member.empty() || rank < best_rank) {
       best = {.member = it, .wait = wait};
       best_rank = rank;
@@ -141,22 +141,22 @@
                   : AdviceWait(context.state, context.now);
   }
   const auto& waits = urgent ? advice.urgent_waits : advice.waits;
-  const auto told = waits.find(member);
-  Duration wait = told == waits.end() ? Duration(0) : told->second;
-  for (const auto& [call, question] : advice.questions) {
-    const bool before = !urgent || question.priority == kMostUrgent;
-    if (question.member == member && before) {
-      wait += question.expected;
+  const auto reported = waits.find(member);
+  Duration wait = reported == waits.end() ? Duration(0) : reported->second;
+  for (const auto& [call, query] : advice.questions) {
+    const bool before = !urgent || query.priority == kMostUrgent;
+    if (query.member == member && before) {
+      wait += query.expected;
     }
   }
   return wait;
 }
 
-std::string ChooseCaller(const Context& context,
-                         std::uint32_t priority,
-                         Duration expected,
-                         Time heard_since) {
-  const Callers callers = CallersOf(context, heard_since);
+std::string ChooseAdviceCaller(const Context& context,
+                               std::uint32_t priority,
+                               Duration expected,
+                               Time updated_since) {
+  const Callers callers = CallersOf(context, updated_since);
   const ShortestWait all = FindShortestWait(context, callers.for_all, priority);
   if (IsLongCall(expected)) {
     return all.member;
@@ -166,10 +166,10 @@
   return best.wait <= std::max(kShortWait, all.wait) ? best.member : all.member;
 }
 
-void HearOfCaller(Context& context,
-                  const std::string& member,
-                  Duration wait,
-                  Duration urgent_wait) {
+void UpdateAdviceCaller(Context& context,
+                        const std::string& member,
+                        Duration wait,
+                        Duration urgent_wait) {
   AdviceState& advice = context.state.advice;
   advice.waits[member] = wait;
   advice.urgent_waits[member] = urgent_wait;
@@ -177,7 +177,7 @@
   advice.silent.erase(member);
 }
 
-void ForgetCaller(Context& context, const std::string& member) {
+void ForgetAdviceCaller(Context& context, const std::string& member) {
   AdviceState& advice = context.state.advice;
   advice.waits.erase(member);
   advice.urgent_waits.erase(member);
@@ -185,33 +185,33 @@
   advice.silent.erase(member);
 }
 
-void LeaveCaller(Context& context, const AdviceQuestion& question) {
-  if (FindMember(context.state, question.member) == nullptr) {
+void AvoidAdviceCaller(Context& context, const AdviceQuestion& query) {
+  if (FindMember(context.state, query.member) == nullptr) {
     return;
   }
   AdviceState& advice = context.state.advice;
-  if (IsLost(context, question)) {
-    advice.silent.insert(question.member);
+  if (IsQueryLost(context, query)) {
+    advice.silent.insert(query.member);
   }
   // It is busier than it has reported.
   for (auto* waits : {&advice.waits, &advice.urgent_waits}) {
-    Duration& wait = (*waits)[question.member];
-    wait = std::max(wait, context.now - question.asked);
+    Duration& wait = (*waits)[query.member];
+    wait = std::max(wait, context.now - query.asked);
   }
 }
 
-bool IsLost(const Context& context, const AdviceQuestion& question) {
-  const std::string& member = question.member;
+bool IsQueryLost(const Context& context, const AdviceQuestion& query) {
+  const std::string& member = query.member;
   if (member == context.self()) {
     return false;
   }
-  const bool owes = context.now >= question.due + kSilence &&
-                    HeardAt(context, member) < question.asked;
-  return owes || FindMember(context.state, member) == nullptr;
+  const bool overdue = context.now >= query.due + kReplyOverdue &&
+                       LastUpdateOf(context, member) < query.asked;
+  return overdue || FindMember(context.state, member) == nullptr;
 }
 
-Duration WaitDoubt(Duration expected) {
-  return IsLongCall(expected) ? kWaitDoubt : kShortWait;
+Duration WaitTolerance(Duration expected) {
+  return IsLongCall(expected) ? kWaitTolerance : kShortWait;
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -14,23 +14,23 @@
 
 // The member, or this instance, where a call of this length waits the least,
 // among those that have sent something since `heard_since`.
-std::string ChooseCaller(const Context& context,
-                         std::uint32_t priority,
-                         Duration expected,
-                         Time heard_since);
+std::string ChooseAdviceCaller(const Context& context,
+                               std::uint32_t priority,
+                               Duration expected,
+                               Time updated_since);
 
 // The member reported its wait.
-void HearOfCaller(Context& context,
-                  const std::string& member,
-                  Duration wait,
-                  Duration urgent_wait);
+void UpdateAdviceCaller(Context& context,
+                        const std::string& member,
+                        Duration wait,
+                        Duration urgent_wait);
 
 // The member left.
-void ForgetCaller(Context& context, const std::string& member);
+void ForgetAdviceCaller(Context& context, const std::string& member);
 
 // Whether whoever was asked has gone, and the question with it, or owes the
 // answer and has sent nothing since it was asked.
-bool IsLost(const Context& context, const AdviceQuestion& question);
+bool IsQueryLost(const Context& context, const AdviceQuestion& query);
 
 // How long one more call of this priority would wait there, as far as is known
 // here.
@@ -39,10 +39,10 @@
                 std::uint32_t priority);
 
 // By how much the wait at the member may have grown since its report.
-Duration WaitDoubt(Duration expected);
+Duration WaitTolerance(Duration expected);
 
 // The question is given up: its member is avoided until it reports its wait.
-void LeaveCaller(Context& context, const AdviceQuestion& question);
+void AvoidAdviceCaller(Context& context, const AdviceQuestion& query);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advice_turns.cc
+++ b/Source/engine/advice/advice_queue.cc
@@ -1,4 +1,4 @@
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 
 #include <algorithm>
 #include <limits>
@@ -45,8 +45,9 @@
   const Duration late = LatenessAt(advice, now);
   Duration wait = late;
   if (advice.in_flight) {
-    const Duration gone = now - advice.called_at;
-    wait += std::max(advice.in_flight->ask.expected + late - gone, Duration(0));
+    const Duration elapsed = now - advice.called_at;
+    wait +=
+        std::max(advice.in_flight->ask.expected + late - elapsed, Duration(0));
   }
   for (const AdviceTurn& it : advice.turns) {
     const bool before =
@@ -59,13 +60,13 @@
 // Lower is earlier. The most urgent calls come first, the others nearly in the
 // order that they came: strict priorities would leave the last queue's steps
 // without any ticket.
-std::tuple<bool, Time> RankOf(const AdviceTurn& turn) {
-  return {turn.ask.priority != kMostUrgent,
-          turn.arrived + kPriorityLead * turn.ask.priority -
-              (turn.ask.lasting ? kLastingLead : Duration(0))};
+std::tuple<bool, Time> RankOf(const AdviceTurn& call) {
+  return {call.ask.priority != kMostUrgent,
+          call.arrived + kPriorityLead * call.ask.priority -
+              (call.ask.lasting ? kLastingLead : Duration(0))};
 }
 
-std::deque<AdviceTurn>::iterator NextTurn(std::deque<AdviceTurn>& turns) {
+std::deque<AdviceTurn>::iterator NextCall(std::deque<AdviceTurn>& turns) {
   return std::min_element(turns.begin(), turns.end(),
                           [](const AdviceTurn& left, const AdviceTurn& right) {
                             return RankOf(left) < RankOf(right);
@@ -73,35 +74,35 @@
 }
 
 // One that has registered just now may ask before this instance has read so.
-bool HasGone(const Context& context, const std::string& asker) {
-  return context.state.members.departed.contains(asker) &&
-         FindMember(context.state, asker) == nullptr;
+bool IsLostMember(const Context& context, const std::string& sender) {
+  return context.state.members.departed.contains(sender) &&
+         FindMember(context.state, sender) == nullptr;
 }
 
 // Whoever has given a question up asks again, and so does the next owner of the
 // step of an asker that has gone: calls that are made all the same keep others
 // waiting, who then give up too. It shows by waiting steps whose question is
 // younger than their wait.
-void DropStaleTurns(Context& context) {
+void RemoveStaleCalls(Context& context) {
   std::erase_if(context.state.advice.turns, [&](const AdviceTurn& it) {
-    const bool given_up = it.ask.patience != Duration(0) &&
-                          context.now >= it.arrived + it.ask.patience;
-    return given_up || HasGone(context, it.from);
+    const bool given_up = it.ask.timeout != Duration(0) &&
+                          context.now >= it.arrived + it.ask.timeout;
+    return given_up || IsLostMember(context, it.from);
   });
 }
 
 }  // namespace
 
-void DriveAdviceTurns(Context& context) {
+void DriveAdviceQueue(Context& context) {
   AdviceState& advice = context.state.advice;
   if (advice.in_flight || context.now < advice.retry_at) {
     return;
   }
-  DropStaleTurns(context);
+  RemoveStaleCalls(context);
   if (advice.turns.empty()) {
     return;
   }
-  const auto next = NextTurn(advice.turns);
+  const auto next = NextCall(advice.turns);
   advice.in_flight = std::move(*next);
   advice.turns.erase(next);
   advice.called_at = context.now;
@@ -110,13 +111,14 @@
                           .timeout = kAdviceTimeout});
 }
 
-void OnAdviceAsk(Context& context,
-                 const std::string& from,
-                 const AdviceAsk& ask) {
-  const Duration wait = WaitBehind(context.state, context.now, ask.priority);
-  if (ask.most_wait != Duration(0) && wait > ask.most_wait) {
+void OnPeerAdviceRequest(Context& context,
+                         const std::string& from,
+                         const PeerAdviceRequest& request) {
+  const Duration wait =
+      WaitBehind(context.state, context.now, request.priority);
+  if (request.max_wait != Duration(0) && wait > request.max_wait) {
     return Send(context, from,
-                AdviceReply{.call = ask.call,
+                AdviceReply{.call = request.call,
                             .failed = true,
                             .declined = true,
                             .wait = AdviceWait(context.state, context.now),
@@ -124,7 +126,7 @@
                                 UrgentAdviceWait(context.state, context.now)});
   }
   context.state.advice.turns.push_back(
-      {.from = from, .ask = ask, .arrived = context.now});
+      {.from = from, .ask = request, .arrived = context.now});
 }
 
 void OnAdviceAnswered(Context& context, const AdviceAnswered& event) {
@@ -132,10 +134,10 @@
   if (!advice.in_flight) {
     return;
   }
-  const AdviceTurn turn = *std::exchange(advice.in_flight, std::nullopt);
-  NoteLateness(advice, context.now, turn.ask.expected);
+  const AdviceTurn call = *std::exchange(advice.in_flight, std::nullopt);
+  NoteLateness(advice, context.now, call.ask.expected);
   AdviceReply reply{
-      .call = turn.ask.call,
+      .call = call.ask.call,
       .wait = AdviceWait(context.state, context.now),
       .urgent_wait = UrgentAdviceWait(context.state, context.now)};
   if (const auto* failed = std::get_if<AdviceFailed>(&event.answer)) {
@@ -148,7 +150,7 @@
       reply.allowed.push_back({.worker = it.worker, .ticket = it.ticket});
     }
   }
-  Send(context, turn.from, std::move(reply));
+  Send(context, call.from, std::move(reply));
 }
 
 Duration AdviceWait(const State& state, Time now) {
--- a/Source/engine/advice/advice_rule.h
+++ b/Source/engine/advice/advice_rule.h
@@ -14,7 +14,7 @@
   double value() const { return share_; }
 
   // An answer about so many workers of which nothing was known.
-  void Learn(std::size_t allowed, std::size_t named);
+  void Update(std::size_t allowed, std::size_t named);
 
   bool operator==(const AllowedShare&) const = default;
 
@@ -23,24 +23,24 @@
 };
 
 // A call that is being put together.
-struct AdviceCall {
+struct AdviceCallDraft {
   std::size_t waiting = 0;  // tasks of the step
   bool gang = false;
   std::size_t named = 0;  // workers so far
   double starts = 0;      // that they promise, by the share that is allowed
-  double most = 0;        // starts if all of them are allowed
+  double max_starts = 0;  // starts if all of them are allowed
   double ticketed = 0;    // starts at other workers with tickets
 };
 
 // Whether it names enough workers. Too few of them cost another decision, which
 // takes the service far longer than one more worker.
-bool NamesEnough(const AdviceCall& call);
+bool HasEnoughWorkers(const AdviceCallDraft& call);
 
 // Whether a step that was asked for before, `since_call` ago, should be asked
 // for again. Little room is free at a time under load; asked for by all that
 // wait it would fill all turns. A step that has not asked for a while takes
 // what there is. A gang starts whole or not at all.
-bool IsWorthACall(const AdviceCall& call, Duration since_call);
+bool IsWorthACall(const AdviceCallDraft& call, Duration since_call);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -14,9 +14,9 @@
 
 // Workers without room now are named for the room that they may get, up to so
 // many in a call.
-constexpr std::size_t kRoomlessNames = 10;
+constexpr std::size_t kMaxRoomlessWorkers = 10;
 
-struct Named {
+struct NamedWorker {
   std::string id;
   bool allowed = false;  // from an earlier answer, its ticket has lapsed
   bool has_room = false;
@@ -43,13 +43,13 @@
              : candidates[service] = CandidatesOf(context, service);
 }
 
-std::vector<Named> NamesFor(const Context& context,
-                            const ReadyStep& ready,
-                            CandidatesByService& candidates) {
+std::vector<NamedWorker> NamesFor(const Context& context,
+                                  const ReadyStep& ready,
+                                  CandidatesByService& candidates) {
   const StepRun& step = ready.run();
   const PlacementNeed need = NeedOf(ready);
   const auto placed = CountPlaced(ready);
-  std::vector<Named> names;
+  std::vector<NamedWorker> names;
   for (const Candidate& candidate :
        CandidatesFor(context, ready.queue->service, candidates)) {
     const std::string& id = candidate.worker->id;
@@ -68,8 +68,8 @@
                           CouldPreempt(context, ready, need, candidate);
     const bool known = ticket != step.tickets.end();
     // Asking again makes sense only where a task would start at once.
-    const bool asked = step.advised_at != kForever;
-    if ((known && IsValid(context, ticket->second)) || (asked && !has_room)) {
+    const bool queried = step.advised_at != kForever;
+    if ((known && IsValid(context, ticket->second)) || (queried && !has_room)) {
       continue;
     }
     const auto fits = static_cast<double>(starts);
@@ -118,37 +118,39 @@
   return fits;
 }
 
-std::vector<std::string> ChooseNames(Context& context,
-                                     const ReadyStep& ready,
-                                     CandidatesByService& candidates) {
-  std::vector<Named> names = NamesFor(context, ready, candidates);
+std::vector<std::string> ChooseWorkersForAdvice(
+    Context& context,
+    const ReadyStep& ready,
+    CandidatesByService& candidates) {
+  std::vector<NamedWorker> names = NamesFor(context, ready, candidates);
   // Equal ones in another order each time, so that not all steps ask for the
   // same workers.
   std::shuffle(names.begin(), names.end(), context.state.random);
   std::stable_sort(
-      names.begin(), names.end(), [](const Named& left, const Named& right) {
+      names.begin(), names.end(),
+      [](const NamedWorker& left, const NamedWorker& right) {
         return std::tuple(!left.has_room, !left.allowed, left.rank) <
                std::tuple(!right.has_room, !right.allowed, right.rank);
       });
-  AdviceCall call{
+  AdviceCallDraft call{
       .waiting = CountWaiting(ready.run()),
       .gang = ready.spec().gang,
       .ticketed = static_cast<double>(CountTicketed(context, ready))};
   const double share = context.state.advice.shares[ready.queue->name].value();
   std::vector<std::string> chosen;
-  for (const Named& it : names) {
-    const bool roomless = !it.has_room && chosen.size() >= kRoomlessNames;
-    if (roomless || chosen.size() == kMaxAdvised || NamesEnough(call)) {
+  for (const NamedWorker& it : names) {
+    const bool roomless = !it.has_room && chosen.size() >= kMaxRoomlessWorkers;
+    if (roomless || chosen.size() == kMaxAdvised || HasEnoughWorkers(call)) {
       break;
     }
     chosen.push_back(it.id);
     ++call.named;
     call.starts += it.fits * (it.allowed ? 1 : share);
-    call.most += it.fits;
+    call.max_starts += it.fits;
   }
   const StepRun& step = ready.run();
-  const bool asked = step.advised_at != kForever;
-  if (asked && !IsWorthACall(call, context.now - step.called_at)) {
+  const bool queried = step.advised_at != kForever;
+  if (queried && !IsWorthACall(call, context.now - step.called_at)) {
     chosen.clear();
   }
   return chosen;
--- a/Source/engine/advice/advised_names.h
+++ b/Source/engine/advice/advised_names.h
@@ -27,9 +27,10 @@
 std::int64_t CountTicketed(const Context& context, const ReadyStep& ready);
 
 // The best first; empty when a call is not worth its turn.
-std::vector<std::string> ChooseNames(Context& context,
-                                     const ReadyStep& ready,
-                                     CandidatesByService& candidates);
+std::vector<std::string> ChooseWorkersForAdvice(
+    Context& context,
+    const ReadyStep& ready,
+    CandidatesByService& candidates);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -25,7 +25,7 @@
       it.accepting = false;
     }
   }
-  DoubtRoom(context, worker);
+  RequestRoomUpdate(context, worker);
 }
 
 // Members are booked first and started together, so nothing of a run begins
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -483,7 +483,7 @@
                    {"run", std::to_string(report.run)},
                    {"worker", report.worker}});
       // Its offer may be what got lost, and with it the room kept for it.
-      DoubtRoom(context, report.worker);
+      RequestRoomUpdate(context, report.worker);
       if (PromoteCopy(context, task)) {
         break;
       }
@@ -492,13 +492,13 @@
         BreakGang(context, *place);
       }
       break;
-    case RunState::kStill:
+    case RunState::kStalled:
       OnStill(context, *place);
       break;
     case RunState::kUnwanted:
       OnUnwanted(context, *place);
       break;
-    case RunState::kUnreached:
+    case RunState::kUnreachable:
       WantCopy(context, place->spec, task);
       break;
   }
--- a/Source/engine/jobs/placing.cc
+++ b/Source/engine/jobs/placing.cc
@@ -10,7 +10,7 @@
 #include "engine/jobs/job_table.h"
 #include "engine/jobs/task_copies.h"
 #include "engine/members/membership.h"
-#include "engine/members/silence.h"
+#include "engine/members/unresponsive_members.h"
 #include "engine/workers/worker_list.h"
 
 namespace burdockrock::engine {
@@ -556,7 +556,7 @@
     }
   }
   for (auto& [owner, offers] : round.offers) {
-    NoteOffer(context, owner);
+    NoteOfferSent(context, owner);
     for (TaskOffer& it : offers) {
       Send(context, owner, std::move(it));
     }
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -201,9 +201,9 @@
   caller.asked_at = context.now;
   Send(context, owner,
        JobQuery{.call = id,
-                .question = caller.question == CallerQuestion::kCancel
-                                ? JobQuestion::kCancel
-                                : JobQuestion::kState,
+                .kind = caller.question == CallerQuestion::kCancel
+                            ? JobQueryKind::kCancel
+                            : JobQueryKind::kState,
                 .job = caller.job});
 }
 
@@ -456,7 +456,7 @@
   if (job == nullptr) {
     return Reply(context, from, JobReply{.call = query.call});
   }
-  if (query.question == JobQuestion::kCancel) {
+  if (query.kind == JobQueryKind::kCancel) {
     return BeginCancel(context, *job,
                        Asker{.member = from, .call = query.call});
   }
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -215,7 +215,7 @@
   const bool expected =
       worker == nullptr ||
       ChooseMember(context.state, covered.worker, worker->info.domain) == from;
-  return newest && (covered.gone || expected);
+  return newest && (covered.lost || expected);
 }
 
 }  // namespace
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -69,7 +69,7 @@
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
   return IsSilent(worker) && !worker.doubted && members.known_to >= asked &&
-         IsSurelyRegistered(context) &&
+         IsRegistrationCurrent(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
              context.self();
 }
@@ -187,7 +187,7 @@
     AddEndsOfJobs(id, worker, jobs, report.ends);
   }
   for (const auto& [id, it] : context.state.gone) {
-    report.covered.push_back({.worker = id, .fence = it.fence, .gone = true});
+    report.covered.push_back({.worker = id, .fence = it.fence, .lost = true});
   }
   if (query.wants_workers) {
     report.remembered = AllRemembered(context.state);
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "engine/advice/advice_callers.h"
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/preemption.h"
 #include "engine/jobs/questions.h"
@@ -33,7 +33,7 @@
   }
 }
 
-std::set<std::string> AllOwn(const State& state) {
+std::set<std::string> OwnWorkers(const State& state) {
   std::set<std::string> all;
   for (const auto& [id, worker] : state.owned) {
     all.insert(id);
@@ -57,9 +57,9 @@
                 std::map<std::string, std::uint32_t> waiting,
                 RoomDigest& digest) {
   for (const auto& [queue, jobs] : waiting) {
-    const auto told = state.told_waiting.find(queue);
+    const auto reported = state.told_waiting.find(queue);
     const std::uint32_t before =
-        told == state.told_waiting.end() ? 0 : told->second;
+        reported == state.told_waiting.end() ? 0 : reported->second;
     if (jobs != before) {
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
     }
@@ -67,14 +67,14 @@
   state.told_waiting = std::move(waiting);
 }
 
-DigestState::ToldWorker ToldOf(const WorkerRoom& room) {
-  return {.fence = room.fence, .accepting = room.accepting, .gone = room.gone};
+DigestState::ToldWorker ReportedOf(const WorkerRoom& room) {
+  return {.fence = room.fence, .accepting = room.accepting, .gone = room.lost};
 }
 
 // A changed owner of a worker, or whether it takes tasks: until others know
 // they offer in vain or leave it empty. Checked as often as digests may be
 // sent.
-bool HasUrgent(Context& context) {
+bool HasUrgentChange(Context& context) {
   DigestState& state = context.state.digest;
   if (!HasPassed(context.now, state.looked_at, kDigestInterval)) {
     return false;
@@ -83,7 +83,7 @@
   return std::any_of(state.changed.begin(), state.changed.end(),
                      [&](const std::string& it) {
                        const auto room = RoomOfWorker(context, it);
-                       return room && state.told[it] != ToldOf(*room);
+                       return room && state.told[it] != ReportedOf(*room);
                      });
 }
 
@@ -94,7 +94,7 @@
 }
 
 // When the members can't notice otherwise that they have missed one.
-bool RemindIsDue(const Context& context) {
+bool RepeatIsDue(const Context& context) {
   const DigestState& state = context.state.digest;
   return HasPassed(context.now, state.sent_at,
                    state.settled ? kDigestReminder : kDigestRepeat);
@@ -107,10 +107,10 @@
     return false;
   }
   return HasPassed(context.now, state.sent_at, IntervalOf(context.state)) ||
-         HasUrgent(context);
+         HasUrgentChange(context);
 }
 
-void TellAskers(Context& context) {
+void SendRequestedDigests(Context& context) {
   DigestState& state = context.state.digest;
   if (state.askers.empty()) {
     return;
@@ -120,7 +120,7 @@
       .whole = true,
       .advice_wait = AdviceWait(context.state, context.now),
       .advice_urgent_wait = UrgentAdviceWait(context.state, context.now)};
-  AddRooms(context, AllOwn(context.state), digest);
+  AddRooms(context, OwnWorkers(context.state), digest);
   for (const auto& [queue, jobs] : CountAllWaiting(context.state)) {
     if (jobs != 0) {
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
@@ -131,11 +131,11 @@
   }
 }
 
-void AskForMissed(Context& context) {
+void RequestMissedDigests(Context& context) {
   for (auto& [member, asked] : context.state.digest.missed) {
     if (HasPassed(context.now, asked, kDigestAsk)) {
       asked = context.now;
-      Send(context, member, DigestAsk());
+      Send(context, member, DigestRequest());
     }
   }
   std::erase_if(context.state.digest.missed, [&](const auto& it) {
@@ -148,16 +148,16 @@
                   const std::string& from,
                   const RoomDigest& digest) {
   DigestState& state = context.state.digest;
-  std::uint64_t& heard = state.heard[from];
+  std::uint64_t& last = state.heard[from];
   // A digest without changes repeats the number of the last one that had some:
   // taken for that one, it would hide that a single digest was missed.
-  const bool tells = !digest.workers.empty() || !digest.waiting.empty();
+  const bool has_changes = !digest.workers.empty() || !digest.waiting.empty();
   if (digest.whole) {
-    heard = std::max(heard, digest.sequence);
+    last = std::max(last, digest.sequence);
     state.missed.erase(from);
-  } else if (tells && digest.sequence == heard + 1) {
-    heard = digest.sequence;
-  } else if (digest.sequence > heard) {
+  } else if (has_changes && digest.sequence == last + 1) {
+    last = digest.sequence;
+  } else if (digest.sequence > last) {
     state.missed.try_emplace(from, Time::min());
   }
 }
@@ -181,14 +181,14 @@
   if (gone == context.state.gone.end()) {
     return std::nullopt;
   }
-  return WorkerRoom{.worker = id, .fence = gone->second.fence, .gone = true};
+  return WorkerRoom{.worker = id, .fence = gone->second.fence, .lost = true};
 }
 
 void OnRoom(Context& context, const std::string& from, const WorkerRoom& it) {
   RoomView& view = context.state.view[it.worker];
   const bool newer =
       it.fence > view.fence ||
-      (it.fence == view.fence && (it.gone || it.version >= view.version));
+      (it.fence == view.fence && (it.lost || it.version >= view.version));
   if (!newer || (view.gone && it.fence <= view.fence)) {
     return;
   }
@@ -200,7 +200,7 @@
                   .free = it.free,
                   .yielding = it.yielding,
                   .accepting = it.accepting,
-                  .gone = it.gone,
+                  .gone = it.lost,
                   .slowness = it.slowness,
                   .heard = context.now};
   const auto owned = context.state.owned.find(it.worker);
@@ -208,7 +208,7 @@
       owned->second.fence < it.fence) {
     LoseWorker(context, it.worker);
   }
-  if (it.gone) {
+  if (it.lost) {
     context.state.workers.erase(it.worker);
     OnWorkerLost(context, it.worker);
   }
@@ -216,11 +216,11 @@
 }
 
 void DriveDigests(Context& context) {
-  TellAskers(context);
-  AskForMissed(context);
+  SendRequestedDigests(context);
+  RequestMissedDigests(context);
   DigestState& state = context.state.digest;
   const bool change = ChangeIsDue(context);
-  if (!change && !RemindIsDue(context)) {
+  if (!change && !RepeatIsDue(context)) {
     return;
   }
   RoomDigest digest{
@@ -231,12 +231,12 @@
     AddWaiting(state, CountAllWaiting(context.state), digest);
   }
   for (const WorkerRoom& it : digest.workers) {
-    state.told[it.worker] = ToldOf(it);
+    state.told[it.worker] = ReportedOf(it);
   }
-  const bool tells = !digest.workers.empty() || !digest.waiting.empty();
-  state.sequence += tells ? 1 : 0;
+  const bool has_changes = !digest.workers.empty() || !digest.waiting.empty();
+  state.sequence += has_changes ? 1 : 0;
   digest.sequence = state.sequence;
-  state.settled = !tells && digest.advice_wait == Duration(0);
+  state.settled = !has_changes && digest.advice_wait == Duration(0);
   state.sent_at = context.now;
   for (const std::string& it : OtherMembers(context)) {
     Send(context, it, digest);
@@ -250,7 +250,8 @@
   for (const WorkerRoom& it : digest.workers) {
     OnRoom(context, from, it);
   }
-  HearOfCaller(context, from, digest.advice_wait, digest.advice_urgent_wait);
+  UpdateAdviceCaller(context, from, digest.advice_wait,
+                     digest.advice_urgent_wait);
   auto& waiting = context.state.digest.waiting[from];
   if (digest.whole) {
     waiting.clear();
@@ -260,11 +261,11 @@
   }
 }
 
-void OnDigestAsk(Context& context, const std::string& from) {
+void OnDigestRequest(Context& context, const std::string& from) {
   context.state.digest.askers.insert(from);
 }
 
-void DoubtRoom(Context& context, const std::string& worker) {
+void RequestRoomUpdate(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view != context.state.view.end() &&
       view->second.owner != context.self()) {
--- a/Source/engine/members/digests.h
+++ b/Source/engine/members/digests.h
@@ -22,11 +22,11 @@
 // `from` has said so. Older than what is known, it counts for nothing.
 void OnRoom(Context& context, const std::string& from, const WorkerRoom& room);
 
-void OnDigestAsk(Context& context, const std::string& from);
+void OnDigestRequest(Context& context, const std::string& from);
 
 // Asks the worker's owner for its room, as after an offer that never arrived:
 // what is known of it may be wrong, and no digest would correct it.
-void DoubtRoom(Context& context, const std::string& worker);
+void RequestRoomUpdate(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -45,7 +45,7 @@
 
 // Rebuilds the table from which owners are chosen. To be called after each
 // change of the members, as choices are far more frequent.
-void MembersChanged(MembersState& members) {
+void RebuildChoosableMembers(MembersState& members) {
   ++members.version;
   members.choosable.clear();
   for (const auto& [incarnation, it] : members.present) {
@@ -115,7 +115,7 @@
            ForRegistration{});
 }
 
-void Raise(Context& context) {
+void AdvanceFence(Context& context) {
   MembersState& members = context.state.members;
   members.raising = true;
   members.raise_wanted = false;
@@ -156,7 +156,7 @@
   members.fence = std::max(members.fence, fence);
   members.present[context.self()] =
       Member{.record = context.state.options.self, .fence = members.fence};
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   ReviewOwnership(context);
 }
 
@@ -182,21 +182,21 @@
   }
 }
 
-void DepartMembers(Context& context) {
+void DeclareMembersLost(Context& context) {
   auto& departed = context.state.members.departed;
-  std::vector<std::string> gone;
+  std::vector<std::string> lost;
   for (auto& [incarnation, it] : departed) {
     if (it.gone_at <= context.now && it.gone_at != Time::min()) {
       it.gone_at = Time::min();
-      gone.push_back(incarnation);
+      lost.push_back(incarnation);
     }
   }
-  for (const std::string& it : gone) {
+  for (const std::string& it : lost) {
     context.Log(EventNumber::kPeerSilent, {{"peer", it}});
     ScanOrphansOf(context, it);
   }
-  if (!gone.empty()) {
-    MembersChanged(context.state.members);
+  if (!lost.empty()) {
+    RebuildChoosableMembers(context.state.members);
     ReviewOwnership(context);
   }
 }
@@ -208,13 +208,13 @@
     DriveRegistration(context);
   }
   MembersState& members = context.state.members;
-  const bool may_raise =
+  const bool may_advance =
       members.raise_wanted && members.fence != 0 && !members.raising &&
       HasPassed(context.now, members.raised_at, kRaiseInterval);
-  if (may_raise && !context.state.stop.released) {
-    Raise(context);
+  if (may_advance && !context.state.stop.released) {
+    AdvanceFence(context);
   }
-  DepartMembers(context);
+  DeclareMembersLost(context);
 }
 
 void OnMemberItem(Context& context, const StoreItem& item) {
@@ -231,7 +231,7 @@
   member.record = std::get<MemberRecord>(std::move(decoded));
   member.fence = std::max(member.fence, item.revision);
   members.departed.erase(incarnation);
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   if (IsSelf(context, incarnation)) {
     // The answer to the registration was lost, but it took effect.
     SetFence(context, item.revision);
@@ -268,13 +268,13 @@
       may_rejoin && StoreIsUnsteady(context) ? kRejoinGrace : Duration(0);
   context.state.digest.waiting.erase(node.key());
   context.state.digest.heard.erase(node.key());
-  ForgetCaller(context, node.key());
+  ForgetAdviceCaller(context, node.key());
   members.departed[node.key()] = DepartedMember{
       .member = node.mapped(),
       .gone_at = context.now + grace,
       .left_at = context.now,
       .replaced_at = replaced ? context.now : node.mapped().parted_at};
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
 }
 
 void OnLeaseGranted(Context& context, const StoreAnswer& answer) {
@@ -327,7 +327,7 @@
   }
 }
 
-void OnRaised(Context& context, const StoreAnswer& answer) {
+void OnFenceAdvanced(Context& context, const StoreAnswer& answer) {
   MembersState& members = context.state.members;
   members.raising = false;
   if (const auto* done = std::get_if<StoreDone>(&answer)) {
@@ -354,7 +354,7 @@
   members.raise_wanted = true;
 }
 
-void OnParting(Context& context, const std::string& from) {
+void OnStoppedRenewing(Context& context, const std::string& from) {
   MembersState& members = context.state.members;
   const auto present = members.present.find(from);
   if (present != members.present.end()) {
@@ -381,12 +381,12 @@
   members.renewing = false;
   members.renew_at = context.now;
   members.present.erase(context.self());
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   DoubtOwnership(context);
   DoubtWorkers(context);
 }
 
-void WantRaise(Context& context) {
+void RequestFenceAdvance(Context& context) {
   context.state.members.raise_wanted = true;
 }
 
@@ -396,7 +396,7 @@
   // Spares new owners of a worker that dies now the wait for leases that nobody
   // renews.
   for (const std::string& it : OtherMembers(context)) {
-    Send(context, it, Parting());
+    Send(context, it, StoppedRenewing());
   }
   if (members.lease == 0) {
     return;
@@ -405,10 +405,10 @@
   members.lease = 0;
   members.fence = 0;
   members.present.erase(context.self());
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
 }
 
-bool IsSurelyRegistered(const Context& context) {
+bool IsRegistrationCurrent(const Context& context) {
   return IsRegistered(context.state) &&
          !HasPassed(context.now, context.state.members.last_contact,
                     kMemberTtl);
@@ -435,10 +435,10 @@
   if (it != state.members.present.end()) {
     return &it->second.record;
   }
-  const auto gone = state.members.departed.find(incarnation);
-  if (gone != state.members.departed.end() &&
-      gone->second.gone_at != Time::min()) {
-    return &gone->second.member.record;
+  const auto departed = state.members.departed.find(incarnation);
+  if (departed != state.members.departed.end() &&
+      departed->second.gone_at != Time::min()) {
+    return &departed->second.member.record;
   }
   return nullptr;
 }
--- a/Source/engine/members/membership.h
+++ b/Source/engine/members/membership.h
@@ -20,16 +20,16 @@
                     std::uint64_t lease,
                     const StoreAnswer& answer);
 void OnRegistered(Context& context, const StoreAnswer& answer);
-void OnRaised(Context& context, const StoreAnswer& answer);
+void OnFenceAdvanced(Context& context, const StoreAnswer& answer);
 
 // The member stops and renews no leases any more.
-void OnParting(Context& context, const std::string& from);
+void OnStoppedRenewing(Context& context, const std::string& from);
 
 // The store no longer has the own registration.
 void LoseRegistration(Context& context, const char* cause);
 
 // Asks for a fence above all that the store has given so far.
-void WantRaise(Context& context);
+void RequestFenceAdvance(Context& context);
 
 // Ends the registration, so that the others take over at once.
 void Deregister(Context& context);
@@ -39,7 +39,7 @@
 // No other member can have taken this one for gone: its registration was
 // renewed within its lifetime. An instance that has just woken up from a freeze
 // still believes in its registration.
-bool IsSurelyRegistered(const Context& context);
+bool IsRegistrationCurrent(const Context& context);
 
 // Of a member, also of one that has departed; empty when it is not known.
 std::string AddressOf(const State& state, const std::string& incarnation);
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -11,11 +11,11 @@
 namespace {
 
 // Well above the time for which a process renews leases without the store.
-constexpr Duration kForgetAfter = milliseconds(60'000);
+constexpr Duration kRecordLifetime = milliseconds(60'000);
 // Of one round; the next takes more.
-constexpr std::size_t kMaxForgotten = 30;
+constexpr std::size_t kMaxRemovalOperations = 30;
 
-constexpr const char* kDuty = "node records";
+constexpr const char* kRemovalKey = "node records";
 
 bool IsPresent(const State& state, const std::string& node) {
   return std::any_of(
@@ -34,7 +34,7 @@
            ForNodes{.forget = forget});
 }
 
-void Learn(Context& context, const std::string& node) {
+void AddNode(Context& context, const std::string& node) {
   NodesState& nodes = context.state.members.nodes;
   if (!nodes.listed.contains(node)) {
     nodes.unseen.emplace(
@@ -42,25 +42,25 @@
   }
 }
 
-bool IsLongGone(const Context& context, const std::string& node) {
+bool IsExpired(const Context& context, const std::string& node) {
   const MembersState& members = context.state.members;
   if (IsPresent(context.state, node) ||
-      !HasPassed(context.now, members.known_since, kForgetAfter)) {
+      !HasPassed(context.now, members.known_since, kRecordLifetime)) {
     return false;
   }
   return std::all_of(
       members.departed.begin(), members.departed.end(), [&](const auto& it) {
         return it.second.member.record.node != node ||
-               HasPassed(context.now, it.second.left_at, kForgetAfter);
+               HasPassed(context.now, it.second.left_at, kRecordLifetime);
       });
 }
 
-void Forget(Context& context, const std::vector<StoreItem>& items) {
+void RemoveExpired(Context& context, const std::vector<StoreItem>& items) {
   StoreTransaction transaction;
   for (const StoreItem& it : items) {
     const std::string node = it.key.substr(kNodePrefix.size());
-    if (IsLongGone(context, node) &&
-        transaction.removes.size() < kMaxForgotten / 2) {
+    if (IsExpired(context, node) &&
+        transaction.removes.size() < kMaxRemovalOperations / 2) {
       transaction.conditions.push_back(
           {.key = it.key, .revision = it.revision});
       transaction.removes.push_back(it.key);
@@ -94,9 +94,9 @@
     if (HasPassed(context.now, nodes.read_at, kStoreRetry)) {
       ReadPage(context, false);
     }
-  } else if (HasPassed(context.now, nodes.read_at, kForgetAfter)) {
+  } else if (HasPassed(context.now, nodes.read_at, kRecordLifetime)) {
     nodes.read_at = context.now;
-    if (ChooseMember(context.state, kDuty, {}) == context.self()) {
+    if (ChooseMember(context.state, kRemovalKey, {}) == context.self()) {
       ReadPage(context, true);
     }
   }
@@ -110,10 +110,10 @@
     return;  // read again, from the same page
   }
   if (forget) {
-    return Forget(context, page->items);
+    return RemoveExpired(context, page->items);
   }
   for (const StoreItem& it : page->items) {
-    Learn(context, it.key.substr(kNodePrefix.size()));
+    AddNode(context, it.key.substr(kNodePrefix.size()));
   }
   if (page->more && !page->items.empty()) {
     nodes.after = page->items.back().key;
--- a/Source/engine/members/peer_fields.h
+++ b/Source/engine/members/peer_fields.h
@@ -16,14 +16,14 @@
 
 template <>
 struct EnumText<engine::RunState> {
-  static constexpr engine::RunState kLast = engine::RunState::kUnreached;
+  static constexpr engine::RunState kLast = engine::RunState::kUnreachable;
   static constexpr auto* kName = &engine::RunStateName;
 };
 
 template <>
-struct EnumText<engine::JobQuestion> {
-  static constexpr engine::JobQuestion kLast = engine::JobQuestion::kCancel;
-  static constexpr auto* kName = &engine::JobQuestionName;
+struct EnumText<engine::JobQueryKind> {
+  static constexpr engine::JobQueryKind kLast = engine::JobQueryKind::kCancel;
+  static constexpr auto* kName = &engine::JobQueryKindName;
 };
 
 template <>
@@ -233,7 +233,7 @@
   static void Visit(Codec& codec, Value& it) {
     codec.Field("worker", it.worker);
     codec.Optional("fence", it.fence, std::uint64_t{0});
-    codec.Optional("gone", it.gone, false);
+    codec.Optional("gone", it.lost, false);
   }
 };
 
@@ -256,7 +256,7 @@
   template <typename Codec, typename Value>
   static void Visit(Codec& codec, Value& it) {
     codec.Optional("call", it.call, std::uint64_t{0});
-    codec.Field("question", it.question);
+    codec.Field("question", it.kind);
     codec.Field("job", it.job);
   }
 };
@@ -272,7 +272,7 @@
 };
 
 template <>
-struct FieldsOf<engine::AdviceAsk> {
+struct FieldsOf<engine::PeerAdviceRequest> {
   template <typename Codec, typename Value>
   static void Visit(Codec& codec, Value& it) {
     codec.Field("call", it.call);
@@ -280,8 +280,8 @@
     codec.Optional("priority", it.priority, std::uint32_t{0});
     codec.Optional("lasting", it.lasting, false);
     codec.Optional("expected_ms", it.expected, Duration(0));
-    codec.Optional("patience_ms", it.patience, Duration(0));
-    codec.Optional("most_wait_ms", it.most_wait, Duration(0));
+    codec.Optional("patience_ms", it.timeout, Duration(0));
+    codec.Optional("most_wait_ms", it.max_wait, Duration(0));
     codec.Field("workers", it.workers);
   }
 };
@@ -325,7 +325,7 @@
 };
 
 template <>
-struct FieldsOf<engine::LeaseQuestion> {
+struct FieldsOf<engine::LeaseQueryItem> {
   template <typename Codec, typename Value>
   static void Visit(Codec& codec, Value& it) {
     codec.Field("worker", it.worker);
@@ -361,13 +361,13 @@
 };
 
 template <>
-struct FieldsOf<engine::Parting> {
+struct FieldsOf<engine::StoppedRenewing> {
   template <typename Codec, typename Value>
   static void Visit(Codec& /*codec*/, Value& /*it*/) {}
 };
 
 template <>
-struct FieldsOf<engine::DigestAsk> {
+struct FieldsOf<engine::DigestRequest> {
   template <typename Codec, typename Value>
   static void Visit(Codec& /*codec*/, Value& /*it*/) {}
 };
--- a/Source/engine/members/peer_message.cc
+++ b/Source/engine/members/peer_message.cc
@@ -17,8 +17,8 @@
   return kNames.at(static_cast<std::size_t>(state));
 }
 
-const char* JobQuestionName(JobQuestion question) {
-  return question == JobQuestion::kState ? "state" : "cancel";
+const char* JobQueryKindName(JobQueryKind kind) {
+  return kind == JobQueryKind::kState ? "state" : "cancel";
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/members/peer_message.h
+++ b/Source/engine/members/peer_message.h
@@ -24,7 +24,7 @@
   // Of runs that can be stopped for the most urgent work.
   Resources yielding{};
   bool accepting = false;  // takes new tasks
-  bool gone = false;       // all that ran there has ended
+  bool lost = false;       // all that ran there has ended
   // How long tasks take there, in hundredths of their estimates; 0: not known.
   std::uint32_t slowness = 0;
 
@@ -192,11 +192,11 @@
 
 enum class RunState {
   kRunning,
-  kPending,    // ordered, not answered yet, or being stopped
-  kAbsent,     // not there and never will be
-  kStill,      // there, but its work does not go on
-  kUnwanted,   // it runs; its worker is to be emptied
-  kUnreached,  // it was there; its worker can't be reached at the moment
+  kPending,      // ordered, not answered yet, or being stopped
+  kAbsent,       // not there and never will be
+  kStalled,      // there, but its work does not go on
+  kUnwanted,     // it runs; its worker is to be emptied
+  kUnreachable,  // it was there; its worker can't be reached at the moment
 };
 
 const char* RunStateName(RunState state);
@@ -239,7 +239,7 @@
 struct CoveredWorker {
   std::string worker{};
   std::uint64_t fence = 0;  // with which the sender owns it
-  bool gone = false;
+  bool lost = false;
 
   auto operator<=>(const CoveredWorker&) const = default;
 };
@@ -259,14 +259,14 @@
   auto operator<=>(const AdoptReport&) const = default;
 };
 
-enum class JobQuestion { kState, kCancel };
+enum class JobQueryKind { kState, kCancel };
 
-const char* JobQuestionName(JobQuestion question);
+const char* JobQueryKindName(JobQueryKind kind);
 
 // A caller's question about a job, to the job's owner.
 struct JobQuery {
   std::uint64_t call = 0;  // the asker's
-  JobQuestion question = JobQuestion::kState;
+  JobQueryKind kind = JobQueryKind::kState;
   std::string job{};
 
   auto operator<=>(const JobQuery&) const = default;
@@ -282,18 +282,18 @@
 
 // Asks the receiver to ask the advice service: it serves one call at a time for
 // each entry instance.
-struct AdviceAsk {
+struct PeerAdviceRequest {
   std::uint64_t call = 0;  // the asker's
   std::string step{};
   std::uint32_t priority = 0;
   bool lasting = false;  // the step's tasks are to be at work all the time
   Duration expected{0};  // how long the service will take
-  Duration patience{0};  // the asker waits so long; 0: for ever
+  Duration timeout{0};   // the asker waits so long; 0: for ever
   // Whoever would have to let it wait longer declines it; 0: it may wait.
-  Duration most_wait{0};
+  Duration max_wait{0};
   std::vector<std::string> workers{};
 
-  auto operator<=>(const AdviceAsk&) const = default;
+  auto operator<=>(const PeerAdviceRequest&) const = default;
 };
 
 struct AdvisedWorker {
@@ -328,17 +328,17 @@
   auto operator<=>(const WorkerPrepared&) const = default;
 };
 
-struct LeaseQuestion {
+struct LeaseQueryItem {
   std::string worker{};
   std::uint64_t number = 0;  // the asker's
 
-  auto operator<=>(const LeaseQuestion&) const = default;
+  auto operator<=>(const LeaseQueryItem&) const = default;
 };
 
 // Who claims workers that it can't reach asks until when leases last there that
 // the receiver has renewed. Whoever answers gives the worker up.
 struct LeaseQuery {
-  std::vector<LeaseQuestion> workers{};
+  std::vector<LeaseQueryItem> workers{};
 
   auto operator<=>(const LeaseQuery&) const = default;
 };
@@ -362,13 +362,13 @@
 };
 
 // The sender stops and has renewed its last lease.
-struct Parting {
-  auto operator<=>(const Parting&) const = default;
+struct StoppedRenewing {
+  auto operator<=>(const StoppedRenewing&) const = default;
 };
 
 // The receiver sends its whole digest.
-struct DigestAsk {
-  auto operator<=>(const DigestAsk&) const = default;
+struct DigestRequest {
+  auto operator<=>(const DigestRequest&) const = default;
 };
 
 using PeerMessage = std::variant<RoomDigest,
@@ -383,14 +383,14 @@
                                  AdoptReport,
                                  JobQuery,
                                  JobReply,
-                                 AdviceAsk,
+                                 PeerAdviceRequest,
                                  AdviceReply,
                                  PrepareWorker,
                                  WorkerPrepared,
                                  LeaseQuery,
                                  LeaseReport,
-                                 DigestAsk,
-                                 Parting>;
+                                 DigestRequest,
+                                 StoppedRenewing>;
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -11,13 +11,13 @@
 
 // Progress that can't be stored in this time is learned from the workers by
 // whoever adopts the jobs.
-constexpr Duration kFlushTime = milliseconds(1200);
+constexpr Duration kFlushTimeout = milliseconds(1200);
 // The others claim the workers meanwhile, while late messages are answered.
-constexpr Duration kLinger = milliseconds(800);
+constexpr Duration kHandOverPeriod = milliseconds(800);
 
 // Kept before the process is killed, for what still comes on open connections
 // and for the last answers to leave; half of the grace where that is short.
-constexpr Duration kLastAnswers = milliseconds(2000);
+constexpr Duration kFinalAnswerReserve = milliseconds(2000);
 
 bool IsFlushed(const State& state) {
   return state.writer.queue.empty() && state.writer.in_flight.empty() &&
@@ -25,7 +25,7 @@
 }
 
 // Progress is stored at once instead of at its time.
-void HurryProgress(State& state) {
+void MakeProgressWritesDue(State& state) {
   for (const std::string& id : state.active) {
     Job& job = state.jobs.at(id);
     job.urgent_write = job.urgent_write || job.version > job.stored_version;
@@ -57,12 +57,12 @@
   LogStage(context, EventNumber::kDrainStarted,
            {{"jobs", std::to_string(context.state.active.size())},
             {"workers", std::to_string(context.state.owned.size())}});
-  HurryProgress(context.state);
+  MakeProgressWritesDue(context.state);
 }
 
 Time StopDeadline(const State& state) {
   const Duration grace = state.options.bounds.grace;
-  return state.stop.asked_at + grace - std::min(kLastAnswers, grace / 2);
+  return state.stop.asked_at + grace - std::min(kFinalAnswerReserve, grace / 2);
 }
 
 void DriveStop(Context& context) {
@@ -71,7 +71,8 @@
     return;
   }
   const bool overdue = context.now >= StopDeadline(context.state);
-  const bool late = overdue || HasPassed(context.now, stop.since, kFlushTime);
+  const bool late =
+      overdue || HasPassed(context.now, stop.since, kFlushTimeout);
   if (!stop.released && (IsFlushed(context.state) || late)) {
     LogStage(context, EventNumber::kHandedOver,
              {{"jobs", std::to_string(context.state.active.size())}});
@@ -81,7 +82,7 @@
     return;
   }
   if (stop.released &&
-      (overdue || HasPassed(context.now, stop.since, kLinger))) {
+      (overdue || HasPassed(context.now, stop.since, kHandOverPeriod))) {
     stop.ended = true;
     LogStage(context, EventNumber::kDrainComplete, {});
     context.Emit(EndProcess{});
--- a/Source/engine/members/room_codec.cc
+++ b/Source/engine/members/room_codec.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint64_t kAccepting = 1;
-constexpr std::uint64_t kGone = 2;
+constexpr std::uint64_t kLost = 2;
 
 // Behind the worker.
 enum Column {
@@ -35,7 +35,7 @@
   };
   Columns columns{};
   columns[kVersion] = room.version;
-  columns[kState] = room.gone ? kGone : room.accepting ? kAccepting : 0;
+  columns[kState] = room.lost ? kLost : room.accepting ? kAccepting : 0;
   columns[kProcessors] = amount(room.free.processors_milli);
   columns[kMemory] = amount(room.free.memory_mb);
   columns[kSlowness] = room.slowness;
@@ -58,12 +58,12 @@
 }
 
 // The most that a column can hold.
-std::uint64_t MostOf(std::size_t column) {
+std::uint64_t MaxOf(std::size_t column) {
   switch (column) {
     case kVersion:
       return UINT64_MAX;
     case kState:
-      return kGone;
+      return kLost;
     case kSlowness:
       return UINT32_MAX;
     default:
@@ -81,10 +81,10 @@
   Columns columns{};
   for (Json::ArrayIndex it = 1; it < row.size(); ++it) {
     const JsonPlace cell(row[it], place, it);
-    const std::uint64_t most = MostOf(it - 1);
+    const std::uint64_t max = MaxOf(it - 1);
     ReadValue(cell, columns.at(it - 1));
-    if (columns.at(it - 1) > most) {
-      cell.Fail(cell.Shown() + " is too large", "0 to " + std::to_string(most));
+    if (columns.at(it - 1) > max) {
+      cell.Fail(cell.Shown() + " is too large", "0 to " + std::to_string(max));
     }
   }
   const auto amount = [&](Column it) {
@@ -92,7 +92,7 @@
   };
   room.version = columns[kVersion];
   room.accepting = columns[kState] == kAccepting;
-  room.gone = columns[kState] == kGone;
+  room.lost = columns[kState] == kLost;
   room.free = {.processors_milli = amount(kProcessors),
                .memory_mb = amount(kMemory),
                .accelerators = amount(kAccelerators)};
--- a/Source/engine/members/silence.cc
+++ b/Source/engine/members/unresponsive_members.cc
@@ -1,4 +1,4 @@
-#include "engine/members/silence.h"
+#include "engine/members/unresponsive_members.h"
 
 #include <algorithm>
 #include <chrono>
@@ -11,19 +11,19 @@
 
 // Two hops between failure domains and a pause of the member's process take
 // less.
-constexpr Duration kLeastSilence = std::chrono::milliseconds(120);
+constexpr Duration kMinOfferTimeout = std::chrono::milliseconds(120);
 // Keeps most offers from a member that is cut off.
-constexpr Duration kMostSilence = std::chrono::milliseconds(500);
+constexpr Duration kMaxOfferTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
-void NoteOffer(Context& context, const std::string& member) {
+void NoteOfferSent(Context& context, const std::string& member) {
   if (member != context.self()) {
     context.state.silence.asked.emplace(member, context.now);
   }
 }
 
-void NoteWord(Context& context, const std::string& member) {
+void NoteMessageReceived(Context& context, const std::string& member) {
   SilenceState& silence = context.state.silence;
   auto offered = silence.asked.extract(member);
   if (offered.empty()) {
@@ -31,17 +31,18 @@
     context.state.placement_due |= !offered.empty();
   }
   if (!offered.empty()) {
-    const Duration took = context.now - offered.mapped();
-    silence.answers = silence.answers.With(std::min(took, kMostSilence));
+    const Duration elapsed = context.now - offered.mapped();
+    silence.answers = silence.answers.With(std::min(elapsed, kMaxOfferTimeout));
   }
 }
 
-void DriveSilence(Context& context) {
+void DriveUnresponsiveMembers(Context& context) {
   SilenceState& silence = context.state.silence;
   std::erase_if(silence.silent, [&](const auto& it) {
     return FindMember(context.state, it.first) == nullptr;
   });
-  const Duration timeout = silence.answers.Timeout(kLeastSilence, kMostSilence);
+  const Duration timeout =
+      silence.answers.Timeout(kMinOfferTimeout, kMaxOfferTimeout);
   for (auto it = silence.asked.begin(); it != silence.asked.end();) {
     if (!HasPassed(context.now, it->second, timeout)) {
       ++it;
--- a/Source/engine/members/silence.h
+++ b/Source/engine/members/unresponsive_members.h
@@ -1,8 +1,8 @@
 // Members that do not answer offers. Their registration outlasts a cut by
 // seconds, and a task that is offered to them meanwhile can't be started
 // elsewhere before it is known whether it runs.
-#ifndef BURDOCKROCK_ENGINE_MEMBERS_SILENCE_H_
-#define BURDOCKROCK_ENGINE_MEMBERS_SILENCE_H_
+#ifndef BURDOCKROCK_ENGINE_MEMBERS_UNRESPONSIVE_MEMBERS_H_
+#define BURDOCKROCK_ENGINE_MEMBERS_UNRESPONSIVE_MEMBERS_H_
 
 #include <string>
 
@@ -11,15 +11,15 @@
 namespace burdockrock::engine {
 
 // An offer goes to the member.
-void NoteOffer(Context& context, const std::string& member);
+void NoteOfferSent(Context& context, const std::string& member);
 
 // The member has sent something.
-void NoteWord(Context& context, const std::string& member);
+void NoteMessageReceived(Context& context, const std::string& member);
 
 // Finds members whose answer is overdue. They get no offers until their next
 // message.
-void DriveSilence(Context& context);
+void DriveUnresponsiveMembers(Context& context);
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_MEMBERS_SILENCE_H_
+#endif  // BURDOCKROCK_ENGINE_MEMBERS_UNRESPONSIVE_MEMBERS_H_
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -6,7 +6,7 @@
 #include <xxhash.h>
 
 #include "engine/advice/advice.h"
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 #include "engine/jobs/adoption.h"
 #include "engine/jobs/job_progress.h"
 #include "engine/jobs/job_runs.h"
@@ -19,7 +19,7 @@
 #include "engine/members/membership.h"
 #include "engine/members/node_records.h"
 #include "engine/members/planned_stop.h"
-#include "engine/members/silence.h"
+#include "engine/members/unresponsive_members.h"
 #include "engine/notices.h"
 #include "engine/records/catalog.h"
 #include "engine/records/record_sweep.h"
@@ -56,7 +56,9 @@
   void operator()(const AdoptReport& it) { OnAdoptReport(context, from, it); }
   void operator()(const JobQuery& it) { OnJobQuery(context, from, it); }
   void operator()(const JobReply& it) { OnJobReply(context, it); }
-  void operator()(const AdviceAsk& it) { OnAdviceAsk(context, from, it); }
+  void operator()(const PeerAdviceRequest& it) {
+    OnPeerAdviceRequest(context, from, it);
+  }
   void operator()(const AdviceReply& it) { OnAdviceReply(context, from, it); }
   void operator()(const PrepareWorker& it) {
     OnPrepareWorker(context, from, it);
@@ -64,8 +66,8 @@
   void operator()(const WorkerPrepared& it) { OnWorkerPrepared(context, it); }
   void operator()(const LeaseQuery& it) { OnLeaseQuery(context, from, it); }
   void operator()(const LeaseReport& it) { OnLeaseReport(context, from, it); }
-  void operator()(const Parting&) { OnParting(context, from); }
-  void operator()(const DigestAsk&) { OnDigestAsk(context, from); }
+  void operator()(const StoppedRenewing&) { OnStoppedRenewing(context, from); }
+  void operator()(const DigestRequest&) { OnDigestRequest(context, from); }
 };
 
 // Hands the store's answer to whoever asked.
@@ -81,7 +83,7 @@
     OnLeaseRenewed(context, it.lease, answer);
   }
   void operator()(const ForRegistration&) { OnRegistered(context, answer); }
-  void operator()(const ForRaise&) { OnRaised(context, answer); }
+  void operator()(const ForRaise&) { OnFenceAdvanced(context, answer); }
   void operator()(const ForBatch& it) {
     OnBatchAnswer(context, it.batch, answer);
   }
@@ -130,7 +132,7 @@
     OnMachinesAnswered(context, it);
   }
   void operator()(const PeerSaid& it) {
-    NoteWord(context, it.from);
+    NoteMessageReceived(context, it.from);
     std::visit(PeerVisitor{context, it.from}, it.message);
   }
   void operator()(const StopAsked&) { BeginStop(context); }
@@ -176,7 +178,7 @@
   }
   DriveMembership(context);
   DriveNodes(context);
-  DriveSilence(context);
+  DriveUnresponsiveMembers(context);
   DriveWatches(context);
   DriveWorkers(context);
   DriveLeaseQueries(context);
@@ -195,7 +197,7 @@
   DrainInbox(context);
   DriveAdvice(context);
   DrainInbox(context);
-  DriveAdviceTurns(context);
+  DriveAdviceQueue(context);
   DrivePlacement(context);
   DrainInbox(context);
   DriveProgress(context);
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -359,7 +359,7 @@
 // A call to the service that this instance makes for a member or itself.
 struct AdviceTurn {
   std::string from{};
-  AdviceAsk ask{};
+  PeerAdviceRequest ask{};
   Time arrived{0};
 };
 
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -75,7 +75,7 @@
   if (worker.claimed && !IsSilent(worker)) {
     return true;
   }
-  return IsSurelyRegistered(context) &&
+  return IsRegistrationCurrent(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
              context.self();
 }
@@ -152,7 +152,7 @@
 
 void DriveLeaseQueries(Context& context) {
   if (!HasPassed(context.now, context.state.leases_asked, kAskAgain) ||
-      !IsSurelyRegistered(context)) {
+      !IsRegistrationCurrent(context)) {
     return;
   }
   context.state.leases_asked = context.now;
@@ -180,7 +180,7 @@
                   const std::string& from,
                   const LeaseQuery& query) {
   LeaseReport report{.others_left = Left(context, EndOfOthers(context))};
-  for (const LeaseQuestion& it : query.workers) {
+  for (const LeaseQueryItem& it : query.workers) {
     const auto owned = context.state.owned.find(it.worker);
     if (owned != context.state.owned.end()) {
       if (KeepsWorker(context, owned->second)) {
--- a/Source/engine/workers/run_progress.cc
+++ b/Source/engine/workers/run_progress.cc
@@ -98,7 +98,7 @@
                  {"percent", std::to_string(run.progress.percent)},
                  {"for_ms", std::to_string(ToMilliseconds(
                                 context.now - run.progress.risen_at))}});
-    AddReport(context, id, task, run, RunState::kStill, reports);
+    AddReport(context, id, task, run, RunState::kStalled, reports);
   }
   SendAll(context, reports);
   if (still) {
@@ -113,7 +113,7 @@
   Reports reports;
   for (const auto& [task, run] : worker.runs) {
     if (run.spec.concurrent && run.phase == RunPhase::kRunning) {
-      AddReport(context, id, task, run, RunState::kUnreached, reports);
+      AddReport(context, id, task, run, RunState::kUnreachable, reports);
     }
   }
   SendAll(context, reports);
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -35,7 +35,7 @@
 // longer than an old list of members may name another one.
 bool HoldsDuty(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
-  const bool chosen = IsSurelyRegistered(context) &&
+  const bool chosen = IsRegistrationCurrent(context) &&
                       !context.state.stop.asked &&
                       ChooseMember(context.state, kDuty, {}) == context.self();
   if (!chosen) {
@@ -200,7 +200,7 @@
   machine->phase = MachinePhase::kWaiting;
   machine->since = context.now;
   if (refused->kind == MachineRefusalKind::kFenced) {
-    WantRaise(context);
+    RequestFenceAdvance(context);
   }
 }
 
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -115,7 +115,7 @@
 bool RemembersAll(const Context& context) {
   const Watch& watch =
       context.state.watches[static_cast<std::size_t>(WatchedList::kWorkers)];
-  return watch.complete && IsSurelyRegistered(context) &&
+  return watch.complete && IsRegistrationCurrent(context) &&
          HasPassed(context.now, context.state.members.registered_at,
                    kUnlistedKept) &&
          !HasPassed(context.now, watch.known_to, kListLag);
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -121,7 +121,7 @@
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
       // Refused with this one already.
-      WantRaise(context);
+      RequestFenceAdvance(context);
       worker.hold_at = context.now + kHoldRetry;
       return;
     }
@@ -237,7 +237,7 @@
       HasPassed(context.now, context.state.members.registered_at, kClaimDelay);
   // An instance that the store refuses may have been replaced in the list of
   // members, and may have given workers up to its successor.
-  if (!IsSurelyRegistered(context) || context.state.stop.asked || !settled) {
+  if (!IsRegistrationCurrent(context) || context.state.stop.asked || !settled) {
     return;
   }
   context.state.ownership_reviewed = context.now;
@@ -267,7 +267,7 @@
     if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
       SendProof(context, id, worker);
     }
-    if (IsSilent(worker) && IsSurelyRegistered(context) &&
+    if (IsSilent(worker) && IsRegistrationCurrent(context) &&
         HasRunOut(context, worker)) {
       if (IsOwnersWord(context, worker)) {
         gone.push_back(id);
@@ -351,7 +351,7 @@
     if (worker.claimed) {
       LoseWorker(context, event.worker);
     } else {
-      WantRaise(context);
+      RequestFenceAdvance(context);
     }
   }
 }
--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -8,7 +8,7 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 #include "engine/fleet.h"
 
 namespace burdockrock::engine {
@@ -129,7 +129,8 @@
   std::string asker;
   std::string caller;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
-    if (caller.empty() && std::holds_alternative<AdviceAsk>(send.message)) {
+    if (caller.empty() &&
+        std::holds_alternative<PeerAdviceRequest>(send.message)) {
       asker = from;
       caller = send.address;
     }
@@ -167,10 +168,10 @@
   };
   for (const char* it : {"j1.0.0", "j2.0.0"}) {
     fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = 1,
-                         .step = it,
-                         .expected = milliseconds(500),
-                         .workers = {"w0-1"}});
+               PeerAdviceRequest{.call = 1,
+                                 .step = it,
+                                 .expected = milliseconds(500),
+                                 .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(50));
   fleet.Kill("n1");
@@ -258,10 +259,10 @@
   fleet.advice_takes = [&](const AdviceRequest&) { return milliseconds(600); };
   for (std::uint64_t it = 0; it < 4; ++it) {
     fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = it + 1,
-                         .step = fmt::format("j{}.0.0", it),
-                         .expected = milliseconds(40),
-                         .workers = {"w0-1"}});
+               PeerAdviceRequest{.call = it + 1,
+                                 .step = fmt::format("j{}.0.0", it),
+                                 .expected = milliseconds(40),
+                                 .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(1300));  // two of them are answered
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) > milliseconds(800));
@@ -327,10 +328,10 @@
     return milliseconds(20);
   };
   fleet.Tell("n0", "n9-1",
-             AdviceAsk{.call = 1,
-                       .step = "j1.0.0",
-                       .expected = milliseconds(20),
-                       .workers = {"w0-1"}});
+             PeerAdviceRequest{.call = 1,
+                               .step = "j1.0.0",
+                               .expected = milliseconds(20),
+                               .workers = {"w0-1"}});
   fleet.Run(milliseconds(100));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j1.0.0");
 }
--- a/Tests/engine/advice_test.cc
+++ b/Tests/engine/advice_test.cc
@@ -122,11 +122,11 @@
   };
   for (std::uint64_t it = 0; it < 5; ++it) {
     fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = it + 1,
-                         .step = "j" + std::to_string(it) + ".0.0",
-                         .expected = milliseconds(100),
-                         .patience = milliseconds(150),
-                         .workers = {"w0-1"}});
+               PeerAdviceRequest{.call = it + 1,
+                                 .step = "j" + std::to_string(it) + ".0.0",
+                                 .expected = milliseconds(100),
+                                 .timeout = milliseconds(150),
+                                 .workers = {"w0-1"}});
   }
   fleet.Run(seconds(2));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j0.0.0 j1.0.0");
@@ -219,10 +219,10 @@
 TEST_CASE("The share of allowed workers is learned from a queue's answers") {
   AllowedShare share;
   for (int it = 0; it < 20; ++it) {
-    share.Learn(21, 30);
+    share.Update(21, 30);
   }
   CHECK(share.value() == doctest::Approx(0.7).epsilon(0.02));
-  share.Learn(0, 30);
+  share.Update(0, 30);
   CHECK(share.value() > 0.5);
 }
 
--- a/Tests/engine/lasting_test.cc
+++ b/Tests/engine/lasting_test.cc
@@ -248,7 +248,7 @@
   EndRuns(it.fleet, "w1");
   for (const char* node : {"n1", "n2"}) {
     REQUIRE_FALSE(it.fleet.state(node).jobs.contains("j1"));
-    it.fleet.Tell(node, "n0-1", Parting());
+    it.fleet.Tell(node, "n0-1", StoppedRenewing());
   }
   it.fleet.Run(seconds(1));
   CHECK(CountAtWork(it.fleet) == kTasks);
--- a/Tests/engine/messages_test.cc
+++ b/Tests/engine/messages_test.cc
@@ -9,7 +9,7 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-#include "engine/advice/advice_turns.h"
+#include "engine/advice/advice_queue.h"
 #include "engine/fleet.h"
 #include "engine/members/peer_codec.h"
 #include "engine/members/room_codec.h"
@@ -71,7 +71,7 @@
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" && to == "n1";
   };
-  const Counter<DigestAsk> asks(fleet);
+  const Counter<DigestRequest> asks(fleet);
   fleet.Submit("n0", "j1", OneStep(12));
   fleet.Run(milliseconds(500));
   CHECK_FALSE(KnowsRoomOf(fleet, "n1", "n0"));
@@ -135,7 +135,7 @@
   std::set<std::string> asked;
   std::size_t asks = 0;
   fleet.on_peer = [&](const std::string&, const SendPeer& send) {
-    if (std::holds_alternative<AdviceAsk>(send.message)) {
+    if (std::holds_alternative<PeerAdviceRequest>(send.message)) {
       asked.insert(send.to);
       ++asks;
     }
@@ -188,11 +188,12 @@
        .version = 3,
        .yielding = {.processors_milli = 10, .memory_mb = 20, .accelerators = 1},
        .accepting = true},
-      {.worker = "w3", .fence = 9, .gone = true},
+      {.worker = "w3", .fence = 9, .lost = true},
   };
   for (const PeerMessage& it :
        {PeerMessage(RoomDigest{.sequence = 5, .whole = true, .workers = rooms}),
-        PeerMessage(OfferAnswers{.rooms = rooms}), PeerMessage(DigestAsk())}) {
+        PeerMessage(OfferAnswers{.rooms = rooms}),
+        PeerMessage(DigestRequest())}) {
     const Json::Value written = EncodePeerNotification("n1-2", it);
     CHECK(std::get<PeerMessage>(DecodePeerMessage(written["method"].asString(),
                                                   written["params"])) == it);
--- a/Tests/runtime/engine_peers_test.cc
+++ b/Tests/runtime/engine_peers_test.cc
@@ -48,7 +48,7 @@
   const auto port = std::get<std::uint16_t>(server.Listen());
   EnginePeerClient sender(io, "n1-5");
   const std::vector<engine::PeerMessage> messages = {
-      SomeRoom(), SomeRoom(), engine::DigestAsk(), SomeRoom()};
+      SomeRoom(), SomeRoom(), engine::DigestRequest(), SomeRoom()};
   for (const engine::PeerMessage& it : messages) {
     sender.Send({.to = "n2-4",
                  .address = fmt::format("127.0.0.1:{}", port),
