--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -15,23 +15,23 @@
 
 // The instance where a call of this length waits least, among this one and the
 // members that have sent an update since `heard_since`.
-std::string ChooseCaller(const Context& context,
-                         std::uint32_t priority,
-                         Duration expected,
-                         Time heard_since);
+std::string ChooseAdviceCaller(const Context& context,
+                               std::uint32_t priority,
+                               Duration expected,
+                               Time updated_since);
 
 // Takes over the waits that the member reported.
-void HearOfCaller(Context& context,
-                  const std::string& member,
-                  Duration wait,
-                  Duration urgent_wait);
+void UpdateAdviceCaller(Context& context,
+                        const std::string& member,
+                        Duration wait,
+                        Duration urgent_wait);
 
 // Removes the state of a member that was removed from the store's list.
-void ForgetCaller(Context& context, const std::string& member);
+void ForgetAdviceCaller(Context& context, const std::string& member);
 
 // Whether the query is lost: its member was lost, or its reply is overdue and
 // the member has sent no update since the query.
-bool IsLost(const Context& context, const AdviceQuestion& question);
+bool IsQueryLost(const Context& context, const AdviceQuestion& query);
 
 // Estimated wait of one more call of this priority at the member: its last
 // report and the queries sent to it that have no reply yet.
@@ -41,11 +41,11 @@
 
 // By how much the wait at a member may exceed its last report before the member
 // declines a call.
-Duration WaitDoubt(Duration expected);
+Duration WaitTolerance(Duration expected);
 
 // Called when the query is given up. Its member counts as busier than it
 // reported, and as unresponsive if the query is lost, until its next report.
-void LeaveCaller(Context& context, const AdviceQuestion& question);
+void AvoidAdviceCaller(Context& context, const AdviceQuestion& query);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advice_turns.h
+++ b/Source/engine/advice/advice_queue.h
@@ -1,8 +1,8 @@
 // Queue of the calls that this instance makes to the advice service, for its
 // own steps and for those of other members. The service serves one call at a
 // time for each entry instance.
-#ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_TURNS_H_
-#define BURDOCKROCK_ENGINE_ADVICE_ADVICE_TURNS_H_
+#ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
+#define BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
 
 #include <string>
 
@@ -11,12 +11,12 @@
 namespace burdockrock::engine {
 
 // Starts the next call when none is in flight.
-void DriveAdviceTurns(Context& context);
+void DriveAdviceQueue(Context& context);
 
 // Queues the call, or declines it when its wait would be too long.
-void OnAdviceAsk(Context& context,
-                 const std::string& from,
-                 const AdviceAsk& ask);
+void OnPeerAdviceRequest(Context& context,
+                         const std::string& from,
+                         const PeerAdviceRequest& request);
 // The service answered the call in flight, or the call failed.
 void OnAdviceAnswered(Context& context, const AdviceAnswered& event);
 
@@ -27,4 +27,4 @@
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_ADVICE_ADVICE_TURNS_H_
+#endif  // BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
--- a/Source/engine/advice/advice_rule.h
+++ b/Source/engine/advice/advice_rule.h
@@ -16,7 +16,7 @@
 
   // Adds a reply that allowed `allowed` of `named` workers without earlier
   // advice.
-  void Learn(std::size_t allowed, std::size_t named);
+  void Update(std::size_t allowed, std::size_t named);
 
   bool operator==(const AllowedShare&) const = default;
 
@@ -25,25 +25,25 @@
 };
 
 // A call while its workers are being chosen.
-struct AdviceCall {
+struct AdviceCallDraft {
   std::size_t waiting = 0;  // waiting tasks of the step
   bool gang = false;
   std::size_t named = 0;  // workers chosen so far
   double starts = 0;      // expected starts there, by the allowed share
-  double most = 0;        // starts if all of these workers are allowed
+  double max_starts = 0;  // starts if all of these workers are allowed
   double ticketed = 0;    // starts at other workers with valid tickets
 };
 
 // Whether the call names enough workers. Too few cause another call, whose
 // decision takes the service far longer than further workers in this one.
-bool NamesEnough(const AdviceCall& call);
+bool HasEnoughWorkers(const AdviceCallDraft& call);
 
 // Whether to make another call for a step whose previous call was `since_call`
 // ago. Under load, little room is free at a time, and calls of all waiting
 // steps for it would keep the service busy. A step without a call for some time
 // makes one for any room. A gang starts as a whole, so its call needs room for
 // all of it.
-bool IsWorthACall(const AdviceCall& call, Duration since_call);
+bool IsWorthACall(const AdviceCallDraft& call, Duration since_call);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advised_names.h
+++ b/Source/engine/advice/advised_names.h
@@ -28,9 +28,10 @@
 
 // Ids of the workers to name, the best first; empty when the call is not worth
 // its service time.
-std::vector<std::string> ChooseNames(Context& context,
-                                     const ReadyStep& ready,
-                                     CandidatesByService& candidates);
+std::vector<std::string> ChooseWorkersForAdvice(
+    Context& context,
+    const ReadyStep& ready,
+    CandidatesByService& candidates);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/digests.h
+++ b/Source/engine/members/digests.h
@@ -26,12 +26,12 @@
 void OnRoom(Context& context, const std::string& from, const WorkerRoom& room);
 
 // `from` requests a whole digest.
-void OnDigestAsk(Context& context, const std::string& from);
+void OnDigestRequest(Context& context, const std::string& from);
 
 // Requests a whole digest from the worker's owner, for example after a lost
 // offer: the known room may be wrong, and without a change there no digest
 // would correct it.
-void DoubtRoom(Context& context, const std::string& worker);
+void RequestRoomUpdate(Context& context, const std::string& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/membership.h
+++ b/Source/engine/members/membership.h
@@ -24,17 +24,17 @@
                     std::uint64_t lease,
                     const StoreAnswer& answer);
 void OnRegistered(Context& context, const StoreAnswer& answer);
-void OnRaised(Context& context, const StoreAnswer& answer);
+void OnFenceAdvanced(Context& context, const StoreAnswer& answer);
 
 // The member `from` is stopping and renews no more leases.
-void OnParting(Context& context, const std::string& from);
+void OnStoppedRenewing(Context& context, const std::string& from);
 
 // Handles the loss of this instance's registration in the store. `cause` is
 // logged.
 void LoseRegistration(Context& context, const char* cause);
 
 // Requests a fence above all that the store has assigned so far.
-void WantRaise(Context& context);
+void RequestFenceAdvance(Context& context);
 
 // Ends the registration so that the other members take over at once.
 void Deregister(Context& context);
@@ -44,7 +44,7 @@
 // Whether the registration was renewed within its lifetime, so that no other
 // member can have declared this one lost. IsRegistered() is still true in a
 // process that resumes after a pause in which its registration expired.
-bool IsSurelyRegistered(const Context& context);
+bool IsRegistrationCurrent(const Context& context);
 
 // Address of a current or departed member; empty when it is unknown.
 std::string AddressOf(const State& state, const std::string& incarnation);
--- a/Source/engine/members/peer_message.h
+++ b/Source/engine/members/peer_message.h
@@ -24,7 +24,7 @@
   // Held by runs that may be preempted for the most urgent work.
   Resources yielding{};
   bool accepting = false;  // accepts new tasks
-  bool gone = false;       // declared lost: every run there has ended
+  bool lost = false;       // declared lost: every run there has ended
   // Task time there as a percentage of the estimates; 0: unknown.
   std::uint32_t slowness = 0;
 
@@ -200,11 +200,11 @@
 
 enum class RunState {
   kRunning,
-  kPending,    // start command not answered yet, or being stopped
-  kAbsent,     // not there, and will not start there
-  kStill,      // there, but its work has stalled
-  kUnwanted,   // running on a worker that is to be drained
-  kUnreached,  // was there; its worker is unreachable at the moment
+  kPending,      // start command not answered yet, or being stopped
+  kAbsent,       // not there, and will not start there
+  kStalled,      // there, but its work has stalled
+  kUnwanted,     // running on a worker that is to be drained
+  kUnreachable,  // was there; its worker is unreachable at the moment
 };
 
 // The value on the wire, such as "running".
@@ -252,7 +252,7 @@
 struct CoveredWorker {
   std::string worker{};
   std::uint64_t fence = 0;  // of the sender's ownership
-  bool gone = false;
+  bool lost = false;
 
   auto operator<=>(const CoveredWorker&) const = default;
 };
@@ -275,15 +275,15 @@
 };
 
 // What a JobQuery requests.
-enum class JobQuestion { kState, kCancel };
+enum class JobQueryKind { kState, kCancel };
 
 // The value on the wire, such as "cancel".
-const char* JobQuestionName(JobQuestion question);
+const char* JobQueryKindName(JobQueryKind kind);
 
 // A caller's request about a job, forwarded to the job's owner.
 struct JobQuery {
   std::uint64_t call = 0;  // chosen by the sender
-  JobQuestion question = JobQuestion::kState;
+  JobQueryKind kind = JobQueryKind::kState;
   std::string job{};
 
   auto operator<=>(const JobQuery&) const = default;
@@ -300,18 +300,18 @@
 // Asks the receiver to call the advice service for the sender. The service
 // serves one call at a time for each entry instance, so calls are spread over
 // all of them.
-struct AdviceAsk {
+struct PeerAdviceRequest {
   std::uint64_t call = 0;  // chosen by the sender
   std::string step{};
   std::uint32_t priority = 0;
   bool lasting = false;  // the step's tasks are to run permanently
   Duration expected{0};  // service time of the call
-  Duration patience{0};  // after which the sender gives up; 0: no limit
+  Duration timeout{0};   // after which the sender gives up; 0: no limit
   // The receiver declines the call if it would wait longer; 0: no limit.
-  Duration most_wait{0};
+  Duration max_wait{0};
   std::vector<std::string> workers{};
 
-  auto operator<=>(const AdviceAsk&) const = default;
+  auto operator<=>(const PeerAdviceRequest&) const = default;
 };
 
 // A worker that the advice service allows, with the ticket for it.
@@ -348,18 +348,18 @@
 };
 
 // One worker of a LeaseQuery.
-struct LeaseQuestion {
+struct LeaseQueryItem {
   std::string worker{};
   std::uint64_t number = 0;  // chosen by the sender
 
-  auto operator<=>(const LeaseQuestion&) const = default;
+  auto operator<=>(const LeaseQueryItem&) const = default;
 };
 
 // Sent by a member that claims workers which it can't reach: asks until when
 // the leases last that the receiver has renewed there. A receiver that answers
 // for a worker gives up its ownership.
 struct LeaseQuery {
-  std::vector<LeaseQuestion> workers{};
+  std::vector<LeaseQueryItem> workers{};
 
   auto operator<=>(const LeaseQuery&) const = default;
 };
@@ -384,13 +384,13 @@
 };
 
 // The sender is stopping and has renewed its last lease.
-struct Parting {
-  auto operator<=>(const Parting&) const = default;
+struct StoppedRenewing {
+  auto operator<=>(const StoppedRenewing&) const = default;
 };
 
 // Requests a whole digest from the receiver.
-struct DigestAsk {
-  auto operator<=>(const DigestAsk&) const = default;
+struct DigestRequest {
+  auto operator<=>(const DigestRequest&) const = default;
 };
 
 using PeerMessage = std::variant<RoomDigest,
@@ -405,14 +405,14 @@
                                  AdoptReport,
                                  JobQuery,
                                  JobReply,
-                                 AdviceAsk,
+                                 PeerAdviceRequest,
                                  AdviceReply,
                                  PrepareWorker,
                                  WorkerPrepared,
                                  LeaseQuery,
                                  LeaseReport,
-                                 DigestAsk,
-                                 Parting>;
+                                 DigestRequest,
+                                 StoppedRenewing>;
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -11,15 +11,15 @@
 
 // Time for storing job progress. The new owners of the jobs query the workers
 // for progress that is not stored by then.
-constexpr Duration kFlushTime = milliseconds(1200);
+constexpr Duration kFlushTimeout = milliseconds(1200);
 // Time after the hand-over in which other members claim the workers and this
 // instance still answers late messages.
-constexpr Duration kLinger = milliseconds(800);
+constexpr Duration kHandOverPeriod = milliseconds(800);
 
 // Reserved at the end of the grace, before the process is killed, for requests
 // that still arrive on open connections and for sending the last answers. At
 // most half of the grace.
-constexpr Duration kLastAnswers = milliseconds(2000);
+constexpr Duration kFinalAnswerReserve = milliseconds(2000);
 
 bool IsFlushed(const State& state) {
   return state.writer.queue.empty() && state.writer.in_flight.empty() &&
@@ -27,7 +27,7 @@
 }
 
 // Makes the store writes of pending job progress due at once.
-void HurryProgress(State& state) {
+void MakeProgressWritesDue(State& state) {
   for (const std::string& id : state.active) {
     Job& job = state.jobs.at(id);
     job.urgent_write = job.urgent_write || job.version > job.stored_version;
@@ -59,12 +59,12 @@
   LogStage(context, EventNumber::kDrainStarted,
            {{"jobs", std::to_string(context.state.active.size())},
             {"workers", std::to_string(context.state.owned.size())}});
-  HurryProgress(context.state);
+  MakeProgressWritesDue(context.state);
 }
 
 Time StopDeadline(const State& state) {
   const Duration grace = state.options.bounds.grace;
-  return state.stop.asked_at + grace - std::min(kLastAnswers, grace / 2);
+  return state.stop.asked_at + grace - std::min(kFinalAnswerReserve, grace / 2);
 }
 
 void DriveStop(Context& context) {
@@ -73,7 +73,8 @@
     return;
   }
   const bool overdue = context.now >= StopDeadline(context.state);
-  const bool late = overdue || HasPassed(context.now, stop.since, kFlushTime);
+  const bool late =
+      overdue || HasPassed(context.now, stop.since, kFlushTimeout);
   if (!stop.released && (IsFlushed(context.state) || late)) {
     LogStage(context, EventNumber::kHandedOver,
              {{"jobs", std::to_string(context.state.active.size())}});
@@ -83,7 +84,7 @@
     return;
   }
   if (stop.released &&
-      (overdue || HasPassed(context.now, stop.since, kLinger))) {
+      (overdue || HasPassed(context.now, stop.since, kHandOverPeriod))) {
     stop.ended = true;
     LogStage(context, EventNumber::kDrainComplete, {});
     context.Emit(EndProcess{});
