--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -127,34 +127,34 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(300)});
   fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(800); };
-  std::string asker;
-  std::string caller;
+  std::string sender;
+  std::string receiver;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
-    if (caller.empty() &&
+    if (receiver.empty() &&
         std::holds_alternative<PeerAdviceRequest>(send.message)) {
-      asker = from;
-      caller = send.address;
+      sender = from;
+      receiver = send.address;
     }
   };
   AdviceTimes times(fleet);
   for (const std::string& it : fleet.nodes()) {
-    if (caller.empty()) {
+    if (receiver.empty()) {
       times.Submit(it, "q");
       fleet.Run(milliseconds(100));
     }
   }
-  REQUIRE_FALSE(caller.empty());
+  REQUIRE_FALSE(receiver.empty());
   const Time killed = fleet.now();
-  fleet.Kill(caller);
-  fleet.Start(caller);
-  const std::string later = caller + "-3";
+  fleet.Kill(receiver);
+  fleet.Start(receiver);
+  const std::string next = receiver + "-3";
   REQUIRE(fleet.RunUntil(
-      [&] { return fleet.state(asker).members.present.contains(later); },
+      [&] { return fleet.state(sender).members.present.contains(next); },
       seconds(1)));
   fleet.Run(milliseconds(200));
-  const auto& questions = fleet.state(asker).advice.questions;
-  REQUIRE(questions.size() == 1);
-  CHECK(questions.begin()->second.asked > killed);
+  const auto& queries = fleet.state(sender).advice.questions;
+  REQUIRE(queries.size() == 1);
+  CHECK(queries.begin()->second.asked > killed);
 }
 
 // Guards against calls for lost instances. When 18 instances had lost power,
--- a/Tests/engine/messages_test.cc
+++ b/Tests/engine/messages_test.cc
@@ -23,8 +23,8 @@
 
 // Records the messages of one type that instances send.
 template <typename Message>
-struct Counter {
-  explicit Counter(Fleet& fleet) {
+struct Recorder {
+  explicit Recorder(Fleet& fleet) {
     fleet.on_peer = [this](const std::string&, const SendPeer& send) {
       if (const auto* it = std::get_if<Message>(&send.message)) {
         sent.push_back(*it);
@@ -41,7 +41,7 @@
 TEST_CASE("A task that has ended is not stopped") {
   Fleet fleet;
   fleet.Settle();
-  const Counter<TaskStops> stops(fleet);
+  const Recorder<TaskStops> stops(fleet);
   fleet.Submit("n0", "j1", Chain(2, 40));
   fleet.Run(seconds(5));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
@@ -70,15 +70,15 @@
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" && to == "n1";
   };
-  const Counter<DigestRequest> asks(fleet);
+  const Recorder<DigestRequest> requests(fleet);
   fleet.Submit("n0", "j1", OneStep(12));
   fleet.Run(milliseconds(500));
   CHECK_FALSE(KnowsRoomOf(fleet, "n1", "n0"));
-  CHECK(asks.sent.empty());
+  CHECK(requests.sent.empty());
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
   fleet.Run(milliseconds(1500));
   CHECK(KnowsRoomOf(fleet, "n1", "n0"));
-  CHECK(asks.sent.size() == 1);
+  CHECK(requests.sent.size() == 1);
 }
 
 // The sender of an offer reserves the room in its own view until the worker's
@@ -115,13 +115,13 @@
   fleet.Run(milliseconds(500));
   CHECK_FALSE(KnowsRoomOf(fleet, "n0", "n1"));
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
-  const Counter<OfferAnswers> answers(fleet);
+  const Recorder<OfferAnswers> answers(fleet);
   fleet.Submit("n0", "j2", OneStep(32));
   fleet.Run(milliseconds(60));
-  const bool told =
+  const bool reported =
       std::any_of(answers.sent.begin(), answers.sent.end(),
                   [](const OfferAnswers& it) { return !it.rooms.empty(); });
-  CHECK(told);
+  CHECK(reported);
   CHECK(CountRuns(fleet, "j2") == 32);
   CheckPromises(fleet);
 }
@@ -132,20 +132,20 @@
 TEST_CASE("Simultaneous advice calls go to several members") {
   Fleet fleet({.instances = 9, .workers = 18, .advice = true});
   fleet.Settle();
-  std::set<std::string> asked;
-  std::size_t asks = 0;
+  std::set<std::string> receivers;
+  std::size_t requests = 0;
   fleet.on_peer = [&](const std::string&, const SendPeer& send) {
     if (std::holds_alternative<PeerAdviceRequest>(send.message)) {
-      asked.insert(send.to);
-      ++asks;
+      receivers.insert(send.to);
+      ++requests;
     }
   };
   for (const std::string& it : fleet.nodes()) {
     fleet.Submit(it, "job-" + it, OneStep(4));
   }
   fleet.Run(milliseconds(30));
-  CHECK(asks >= 6);
-  CHECK(asked.size() == 3);
+  CHECK(requests >= 6);
+  CHECK(receivers.size() == 3);
 }
 
 // Guards against use of an outdated wait: without the wait in the replies, the
--- a/Tests/engine/planned_stop_test.cc
+++ b/Tests/engine/planned_stop_test.cc
@@ -23,11 +23,11 @@
   Callers(Fleet& fleet, std::string node)
       : fleet_(fleet), node_(std::move(node)) {}
 
-  void AskFor(Duration span) {
+  void SendRequests(Duration span) {
     const Time end = fleet_.now() + span;
     while (fleet_.now() < end && fleet_.IsUp(node_)) {
       if (fleet_.TakesCalls(node_)) {
-        AskNext();
+        SendNext();
       }
       fleet_.Run(kBetweenRequests);
     }
@@ -40,9 +40,9 @@
   }
 
  private:
-  void AskNext() {
-    const std::string job = fmt::format("{}-{}", node_, asked_ / 4);
-    switch (asked_++ % 4) {
+  void SendNext() {
+    const std::string job = fmt::format("{}-{}", node_, sent_ / 4);
+    switch (sent_++ % 4) {
       case 0:
         calls_.insert(fleet_.Submit(node_, job, OneStep(1)));
         break;
@@ -61,7 +61,7 @@
   Fleet& fleet_;
   std::string node_;
   std::set<std::uint64_t> calls_;
-  std::uint64_t asked_ = 0;
+  std::uint64_t sent_ = 0;
 };
 
 void BreakStore(Fleet& fleet, StoreFault fault) {
@@ -96,11 +96,11 @@
       fleet.Settle();
       fleet.Submit("n1", "others", OneStep(4));
       Callers callers(fleet, "n0");
-      callers.AskFor(milliseconds(500));
+      callers.SendRequests(milliseconds(500));
       BreakStore(fleet, fault);
-      callers.AskFor(milliseconds(lead_ms));
+      callers.SendRequests(milliseconds(lead_ms));
       fleet.StopPlanned("n0");
-      callers.AskFor(seconds(7));
+      callers.SendRequests(seconds(7));
       CHECK_FALSE(fleet.IsUp("n0"));
       CHECK(callers.Unanswered() == 0);
     }
@@ -116,14 +116,14 @@
     fleet.Submit("n1", "others", OneStep(4));
     Callers first(fleet, "n0");
     Callers second(fleet, "n1");
-    first.AskFor(milliseconds(300));
-    second.AskFor(milliseconds(300));
+    first.SendRequests(milliseconds(300));
+    second.SendRequests(milliseconds(300));
     fleet.StopPlanned("n0");
-    first.AskFor(milliseconds(apart_ms));
+    first.SendRequests(milliseconds(apart_ms));
     fleet.StopPlanned("n1");
     while (fleet.IsUp("n0") || fleet.IsUp("n1")) {
-      first.AskFor(milliseconds(20));
-      second.AskFor(milliseconds(20));
+      first.SendRequests(milliseconds(20));
+      second.SendRequests(milliseconds(20));
     }
     CHECK(first.Unanswered() == 0);
     CHECK(second.Unanswered() == 0);
@@ -148,10 +148,10 @@
   StopAfterStart(fleet);
   CancelNow(fleet, "n1", "j1");
   REQUIRE(fleet.IsUp("n0"));
-  const std::uint64_t asked = fleet.AskState("n0", "j1");
-  REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(asked); },
-                         seconds(2)));
-  CHECK(fleet.answers[asked] ==
+  const std::uint64_t call = fleet.AskState("n0", "j1");
+  REQUIRE(
+      fleet.RunUntil([&] { return fleet.answers.contains(call); }, seconds(2)));
+  CHECK(fleet.answers[call] ==
         CallerAnswer(JobShown{.state = JobState::kCancelled}));
 }
 
@@ -183,18 +183,18 @@
   fleet.StopPlanned("n2");
   fleet.Run(milliseconds(5));
   REQUIRE(fleet.state("n2").stop.asked);
-  int asked = 0;
+  int queried = 0;
   int stale = 0;
   for (int it = 0; it < kJobs && fleet.TakesCalls("n2"); ++it) {
     const std::uint64_t call = fleet.AskState("n2", name(it));
     fleet.RunUntil([&] { return fleet.answers.contains(call); }, seconds(2));
-    ++asked;
+    ++queried;
     const auto* shown = std::get_if<JobShown>(&fleet.answers[call]);
     if (shown != nullptr && shown->state != JobState::kCancelled) {
       ++stale;
     }
   }
-  CAPTURE(asked);
+  CAPTURE(queried);
   CHECK(stale == 0);
 }
 
@@ -209,12 +209,12 @@
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" || to == "n0";
   };
-  const std::uint64_t asked = fleet.AskState("n0", "j1");
+  const std::uint64_t call = fleet.AskState("n0", "j1");
   CancelNow(fleet, "n1", "j1");
-  REQUIRE_FALSE(fleet.answers.contains(asked));
-  REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(asked); },
-                         seconds(3)));
-  CHECK(fleet.answers[asked] !=
+  REQUIRE_FALSE(fleet.answers.contains(call));
+  REQUIRE(
+      fleet.RunUntil([&] { return fleet.answers.contains(call); }, seconds(3)));
+  CHECK(fleet.answers[call] !=
         CallerAnswer(JobShown{.state = JobState::kRunning}));
 }
 
