--- /dev/null
+++ b/Source/engine/advice/advice_queue.h
@@ -0,0 +1,30 @@
+// Queue of the calls that this instance makes to the advice service, for its
+// own steps and for those of other members. The service serves one call at a
+// time for each entry instance.
+#ifndef BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
+#define BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
+
+#include <string>
+
+#include "engine/context.h"
+
+namespace burdockrock::engine {
+
+// Starts the next call when none is in flight.
+void DriveAdviceQueue(Context& context);
+
+// Queues the call, or declines it when its wait would be too long.
+void OnPeerAdviceRequest(Context& context,
+                         const std::string& from,
+                         const PeerAdviceRequest& request);
+// The service answered the call in flight, or the call failed.
+void OnAdviceAnswered(Context& context, const AdviceAnswered& event);
+
+// Expected wait of one more call here, behind all queued calls, and for the
+// most urgent work.
+Duration AdviceWait(const State& state, Time now);
+Duration UrgentAdviceWait(const State& state, Time now);
+
+}  // namespace burdockrock::engine
+
+#endif  // BURDOCKROCK_ENGINE_ADVICE_ADVICE_QUEUE_H_
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -26,7 +26,7 @@
 
 double Score(const ChoosableMember& member, std::string_view key) {
   const XXH64_hash_t hash = XXH64(key.data(), key.size(), member.node_hash);
-  // To (0, 1]; the weighted form of rendezvous hashing.
+  // Maps the hash to (0, 1], for weighted rendezvous hashing.
   const double unit = (static_cast<double>(hash >> 11U) + 1) / 0x1p53;
   return -static_cast<double>(member.weight) / std::log(unit);
 }
@@ -43,9 +43,9 @@
   }
 }
 
-// Rebuilds the table from which owners are chosen. To be called after each
-// change of the members, as choices are far more frequent.
-void MembersChanged(MembersState& members) {
+// Rebuilds the table from which owners are chosen. Called after each change of
+// the members, because choices are far more frequent.
+void RebuildChoosableMembers(MembersState& members) {
   ++members.version;
   members.choosable.clear();
   for (const auto& [incarnation, it] : members.present) {
@@ -58,7 +58,7 @@
   }
 }
 
-// Empty when there is none in the domain.
+// Returns an empty string when the domain has no member.
 std::string ChooseAmong(const State& state,
                         std::string_view key,
                         std::string_view domain) {
@@ -85,8 +85,8 @@
   AskStore(context, StoreLeaseGrant{.ttl = ttl}, ForLeaseGrant{});
 }
 
-// An earlier incarnation of this machine is surely gone: its entry goes with
-// the new registration instead of after its lease.
+// Keys of earlier incarnations on this machine. Their processes have ended, so
+// the new registration removes the entries before their leases expire.
 std::vector<std::string> EarlierIncarnations(const Context& context) {
   std::vector<std::string> keys;
   for (const auto& [incarnation, member] : context.state.members.present) {
@@ -115,7 +115,7 @@
            ForRegistration{});
 }
 
-void Raise(Context& context) {
+void AdvanceFence(Context& context) {
   MembersState& members = context.state.members;
   members.raising = true;
   members.raise_wanted = false;
@@ -130,7 +130,7 @@
            ForRaise{});
 }
 
-// The machine runs one process: an earlier one is gone for certain.
+// A machine runs one process at a time, so earlier ones on `node` have ended.
 void EndEarlierProcesses(Context& context, const std::string& node) {
   OnNodeSeen(context, node);
   for (auto& [id, it] : context.state.members.departed) {
@@ -156,7 +156,7 @@
   members.fence = std::max(members.fence, fence);
   members.present[context.self()] =
       Member{.record = context.state.options.self, .fence = members.fence};
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   ReviewOwnership(context);
 }
 
@@ -182,21 +182,21 @@
   }
 }
 
-void DepartMembers(Context& context) {
+void DeclareMembersLost(Context& context) {
   auto& departed = context.state.members.departed;
-  std::vector<std::string> gone;
+  std::vector<std::string> lost;
   for (auto& [incarnation, it] : departed) {
     if (it.gone_at <= context.now && it.gone_at != Time::min()) {
       it.gone_at = Time::min();
-      gone.push_back(incarnation);
+      lost.push_back(incarnation);
     }
   }
-  for (const std::string& it : gone) {
+  for (const std::string& it : lost) {
     context.Log(EventNumber::kPeerSilent, {{"peer", it}});
     ScanOrphansOf(context, it);
   }
-  if (!gone.empty()) {
-    MembersChanged(context.state.members);
+  if (!lost.empty()) {
+    RebuildChoosableMembers(context.state.members);
     ReviewOwnership(context);
   }
 }
@@ -208,13 +208,13 @@
     DriveRegistration(context);
   }
   MembersState& members = context.state.members;
-  const bool may_raise =
+  const bool may_advance =
       members.raise_wanted && members.fence != 0 && !members.raising &&
       HasPassed(context.now, members.raised_at, kRaiseInterval);
-  if (may_raise && !context.state.stop.released) {
-    Raise(context);
+  if (may_advance && !context.state.stop.released) {
+    AdvanceFence(context);
   }
-  DepartMembers(context);
+  DeclareMembersLost(context);
 }
 
 void OnMemberItem(Context& context, const StoreItem& item) {
@@ -231,9 +231,9 @@
   member.record = std::get<MemberRecord>(std::move(decoded));
   member.fence = std::max(member.fence, item.revision);
   members.departed.erase(incarnation);
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   if (IsSelf(context, incarnation)) {
-    // The answer to the registration was lost, but it took effect.
+    // The registration took effect although its reply was lost.
     SetFence(context, item.revision);
     return;
   }
@@ -261,20 +261,20 @@
       members.present.begin(), members.present.end(), [&](const auto& it) {
         return it.second.record.node == node.mapped().record.node;
       });
-  // A member that has announced its end will not rejoin: its jobs get a new
+  // A member that has announced its stop will not rejoin: its jobs get a new
   // owner at once.
   const bool may_rejoin = !replaced && node.mapped().parted_at == kForever;
   const Duration grace =
       may_rejoin && StoreIsUnsteady(context) ? kRejoinGrace : Duration(0);
   context.state.digest.waiting.erase(node.key());
   context.state.digest.heard.erase(node.key());
-  ForgetCaller(context, node.key());
+  ForgetAdviceCaller(context, node.key());
   members.departed[node.key()] = DepartedMember{
       .member = node.mapped(),
       .gone_at = context.now + grace,
       .left_at = context.now,
       .replaced_at = replaced ? context.now : node.mapped().parted_at};
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
 }
 
 void OnLeaseGranted(Context& context, const StoreAnswer& answer) {
@@ -314,7 +314,7 @@
     return;
   }
   if (const auto* conflict = std::get_if<StoreConflict>(&answer)) {
-    // An earlier try whose answer was lost has taken effect.
+    // An earlier attempt took effect although its reply was lost.
     for (const StoreItem& it : conflict->items) {
       if (it.key == MemberKey(context.self()) && it.revision != 0) {
         SetFence(context, it.revision);
@@ -327,7 +327,7 @@
   }
 }
 
-void OnRaised(Context& context, const StoreAnswer& answer) {
+void OnFenceAdvanced(Context& context, const StoreAnswer& answer) {
   MembersState& members = context.state.members;
   members.raising = false;
   if (const auto* done = std::get_if<StoreDone>(&answer)) {
@@ -354,7 +354,7 @@
   members.raise_wanted = true;
 }
 
-void OnParting(Context& context, const std::string& from) {
+void OnStoppedRenewing(Context& context, const std::string& from) {
   MembersState& members = context.state.members;
   const auto present = members.present.find(from);
   if (present != members.present.end()) {
@@ -381,22 +381,22 @@
   members.renewing = false;
   members.renew_at = context.now;
   members.present.erase(context.self());
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
   DoubtOwnership(context);
   DoubtWorkers(context);
 }
 
-void WantRaise(Context& context) {
+void RequestFenceAdvance(Context& context) {
   context.state.members.raise_wanted = true;
 }
 
 void Deregister(Context& context) {
   MembersState& members = context.state.members;
   context.state.stop.released = true;
-  // Spares new owners of a worker that dies now the wait for leases that nobody
-  // renews.
+  // Without this message, new owners of a worker that fails now would wait for
+  // the end of leases that this instance no longer renews.
   for (const std::string& it : OtherMembers(context)) {
-    Send(context, it, Parting());
+    Send(context, it, StoppedRenewing());
   }
   if (members.lease == 0) {
     return;
@@ -405,10 +405,10 @@
   members.lease = 0;
   members.fence = 0;
   members.present.erase(context.self());
-  MembersChanged(members);
+  RebuildChoosableMembers(members);
 }
 
-bool IsSurelyRegistered(const Context& context) {
+bool IsRegistrationCurrent(const Context& context) {
   return IsRegistered(context.state) &&
          !HasPassed(context.now, context.state.members.last_contact,
                     kMemberTtl);
@@ -435,10 +435,10 @@
   if (it != state.members.present.end()) {
     return &it->second.record;
   }
-  const auto gone = state.members.departed.find(incarnation);
-  if (gone != state.members.departed.end() &&
-      gone->second.gone_at != Time::min()) {
-    return &gone->second.member.record;
+  const auto departed = state.members.departed.find(incarnation);
+  if (departed != state.members.departed.end() &&
+      departed->second.gone_at != Time::min()) {
+    return &departed->second.member.record;
   }
   return nullptr;
 }
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -9,30 +9,32 @@
 
 namespace {
 
-// Progress that can't be stored in this time is learned from the workers by
-// whoever adopts the jobs.
-constexpr Duration kFlushTime = milliseconds(1200);
-// The others claim the workers meanwhile, while late messages are answered.
-constexpr Duration kLinger = milliseconds(800);
+// Time for storing job progress. The new owners of the jobs query the workers
+// for progress that is not stored by then.
+constexpr Duration kFlushTimeout = milliseconds(1200);
+// Time after the hand-over in which other members claim the workers and this
+// instance still answers late messages.
+constexpr Duration kHandOverPeriod = milliseconds(800);
 
-// Kept before the process is killed, for what still comes on open connections
-// and for the last answers to leave; half of the grace where that is short.
-constexpr Duration kLastAnswers = milliseconds(2000);
+// Reserved at the end of the grace, before the process is killed, for requests
+// that still arrive on open connections and for sending the last answers. At
+// most half of the grace.
+constexpr Duration kFinalAnswerReserve = milliseconds(2000);
 
 bool IsFlushed(const State& state) {
   return state.writer.queue.empty() && state.writer.in_flight.empty() &&
          CountOpenRequests(state) == OpenRequests();
 }
 
-// Progress is stored at once instead of at its time.
-void HurryProgress(State& state) {
+// Makes the store writes of pending job progress due at once.
+void MakeProgressWritesDue(State& state) {
   for (const std::string& id : state.active) {
     Job& job = state.jobs.at(id);
     job.urgent_write = job.urgent_write || job.version > job.stored_version;
   }
 }
 
-// With the requests that wait, for whoever looks for one without an answer.
+// Adds the numbers of pending requests, to help to find one without an answer.
 void LogStage(Context& context,
               EventNumber number,
               std::vector<LogField> fields) {
@@ -57,12 +59,12 @@
   LogStage(context, EventNumber::kDrainStarted,
            {{"jobs", std::to_string(context.state.active.size())},
             {"workers", std::to_string(context.state.owned.size())}});
-  HurryProgress(context.state);
+  MakeProgressWritesDue(context.state);
 }
 
 Time StopDeadline(const State& state) {
   const Duration grace = state.options.bounds.grace;
-  return state.stop.asked_at + grace - std::min(kLastAnswers, grace / 2);
+  return state.stop.asked_at + grace - std::min(kFinalAnswerReserve, grace / 2);
 }
 
 void DriveStop(Context& context) {
@@ -71,7 +73,8 @@
     return;
   }
   const bool overdue = context.now >= StopDeadline(context.state);
-  const bool late = overdue || HasPassed(context.now, stop.since, kFlushTime);
+  const bool late =
+      overdue || HasPassed(context.now, stop.since, kFlushTimeout);
   if (!stop.released && (IsFlushed(context.state) || late)) {
     LogStage(context, EventNumber::kHandedOver,
              {{"jobs", std::to_string(context.state.active.size())}});
@@ -81,7 +84,7 @@
     return;
   }
   if (stop.released &&
-      (overdue || HasPassed(context.now, stop.since, kLinger))) {
+      (overdue || HasPassed(context.now, stop.since, kHandOverPeriod))) {
     stop.ended = true;
     LogStage(context, EventNumber::kDrainComplete, {});
     context.Emit(EndProcess{});
