--- a/Source/engine/jobs/candidates.cc
+++ b/Source/engine/jobs/candidates.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// So much at most does an instance like a worker of another owner.
+// Upper bound of the preference for another owner's worker.
 constexpr double kMostForeign = 0.5;
 
 double LikingOf(const Context& context,
@@ -23,8 +23,9 @@
   return kMostForeign * static_cast<double>(hash >> 11U) / 0x1p53;
 }
 
-// Estimates are off alike for all workers, so only the differences between them
-// count. A worker of which nothing is known yet counts as a mean one.
+// Scales slowness to a mean of 1. Estimates are wrong by a similar factor for
+// all workers, so only differences between workers count. A worker without data
+// counts as average.
 void RelateSlowness(std::vector<Candidate>& candidates) {
   double sum = 0;
   double n = 0;
@@ -39,7 +40,8 @@
 
 }  // namespace
 
-// Caches the view and its owner: each round needs those of all workers.
+// Caches the view and whether its owner is a member, because each placement
+// round needs them for all workers.
 const RoomView* UsableView(State& state,
                            const std::string& id,
                            ListedWorker& listed) {
--- a/Source/engine/jobs/candidates.h
+++ b/Source/engine/jobs/candidates.h
@@ -1,4 +1,4 @@
-// The workers that tasks of a service may be offered to.
+// The workers to which tasks of a service may be offered.
 #ifndef BURDOCKROCK_ENGINE_JOBS_CANDIDATES_H_
 #define BURDOCKROCK_ENGINE_JOBS_CANDIDATES_H_
 
@@ -10,12 +10,13 @@
 
 namespace burdockrock::engine {
 
-// The room of a worker that takes tasks; null: it takes none.
+// The known room of the worker; null if it accepts no tasks now, or its owner
+// is unresponsive or not a member.
 const RoomView* UsableView(State& state,
                            const std::string& id,
                            ListedWorker& listed);
 
-// The service's workers that take tasks, with their room.
+// The service's workers that accept tasks, with their room.
 std::vector<Candidate> CandidatesOf(const Context& context,
                                     const std::string& service);
 
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Takes the workers of an owner that did not answer as closed until it does, as
-// they would be chosen again at once.
+// Treats all workers of an owner that did not answer as not accepting until it
+// answers, because they would be chosen again at once.
 void DoubtOwnerOf(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view == context.state.view.end() || view->second.owner.empty() ||
@@ -28,8 +28,8 @@
   DoubtRoom(context, worker);
 }
 
-// Members are booked first and started together, so nothing of a run begins
-// before this owner has ordered its start. Runs of a former owner may.
+// Members are booked first and started together, so a run does not begin before
+// this owner has commanded its start. A run of a former owner may have begun.
 bool IsOnlyBooked(Job& job, const TaskName& name, const Task& task) {
   const StepRun& step = StepAt(job, name.occurrence, name.step);
   return job.spec.steps[name.step].gang && task.phase == TaskPhase::kOffered &&
@@ -39,8 +39,9 @@
 
 }  // namespace
 
-// Nothing runs for a booking without an answer, so that a gang need not wait
-// for a worker that is cut off.
+// Without a start command nothing runs for a booking, so giving up a booking
+// that got no answer is safe, and a gang need not wait for a worker that is cut
+// off.
 void GiveUpBooking(Context& context,
                    Job& job,
                    const TaskName& name,
--- a/Source/engine/jobs/gang_bookings.h
+++ b/Source/engine/jobs/gang_bookings.h
@@ -1,4 +1,4 @@
-// Room that is kept for a gang's members until all of them have it.
+// Room that is booked for a gang's members until all of them have room.
 #ifndef BURDOCKROCK_ENGINE_JOBS_GANG_BOOKINGS_H_
 #define BURDOCKROCK_ENGINE_JOBS_GANG_BOOKINGS_H_
 
@@ -7,7 +7,8 @@
 
 namespace burdockrock::engine {
 
-// A member of a gang whose start was not ordered in time waits for room again.
+// If a gang member's start was not commanded in time, cancels its booking and
+// makes it wait for room again.
 void GiveUpBooking(Context& context,
                    Job& job,
                    const TaskName& name,
--- a/Source/engine/jobs/job.h
+++ b/Source/engine/jobs/job.h
@@ -1,4 +1,5 @@
-// A job as its owner sees it.
+// A job in the memory of the entry instance that owns it: its steps, the tasks
+// of each occurrence and their runs, and which of this the store already holds.
 #ifndef BURDOCKROCK_ENGINE_JOBS_JOB_H_
 #define BURDOCKROCK_ENGINE_JOBS_JOB_H_
 
@@ -19,127 +20,131 @@
 namespace burdockrock::engine {
 
 enum class TaskPhase {
-  kUnknown,  // after an adoption: it may run somewhere
-  kWaiting,
-  kOffered,
+  kUnknown,  // the job was adopted; a run may exist at some worker
+  kWaiting,  // for a worker
+  kOffered,  // a run was offered to the worker's owner; not known to have begun
   kRunning,
   kDone,
 };
 
-// A second run of a task whose step allows copies.
+// A second run of a task whose step allows concurrent copies.
 struct TaskCopy {
   std::uint64_t run = 0;
   std::string worker{};
   bool running = false;
-  bool stopping = false;
-  Time stop_sent = Time::min();
-  Time stopping_since{0};
-  Time heard{0};
+  bool stopping = false;         // a stop command was sent
+  Time stop_sent = Time::min();  // the last stop command
+  Time stopping_since{0};        // the first stop command
+  Time heard{0};  // last update on the run, from its worker's owner
 };
 
 struct Task {
   TaskPhase phase = TaskPhase::kWaiting;
-  std::uint64_t run = 0;                 // the last one that was offered
-  std::set<std::uint64_t> ended_runs{};  // counted; the last few
-  std::uint32_t failures = 0;
-  std::string worker{};
-  std::string checkpoint{};
-  std::string avoid{};  // the worker where it failed or stood still last
-  Time since{0};        // in its phase
-  Time heard{0};        // of its run, last
-  Time queried{0};      // its worker's owner was asked for its run, last
-  Time retry_at{0};
-  bool booked = false;  // a gang's: its room is kept
-  bool stopping = false;
-  Time stop_sent = Time::min();  // the order to stop it, last
-  Time stopping_since{0};
+  std::uint64_t run = 0;  // the last run that was offered; 0: none
+  std::set<std::uint64_t> ended_runs{};  // counted already; the last few
+  std::uint32_t failures = 0;            // runs that ended failed
+  std::string worker{};                  // of the run; empty: none
+  std::string checkpoint{};              // where the next run resumes
+  std::string avoid{};    // the worker where a run last failed or stalled
+  Time since{0};          // when it entered its phase
+  Time heard{0};          // last update on its run
+  Time queried{0};        // last query for its run to the worker's owner
+  Time retry_at{0};       // not placed before this
+  bool booked = false;    // of a gang: the worker has reserved room for it
+  bool stopping = false;  // a stop command was sent
+  Time stop_sent = Time::min();  // the last stop command
+  Time stopping_since{0};        // the first stop command
   std::optional<TaskCopy> copy{};
-  bool copy_wanted = false;
-  std::uint64_t last_copy = 0;  // the run of the copy before
+  bool copy_wanted = false;     // a copy is to be placed
+  std::uint64_t last_copy = 0;  // run number of the previous copy
 };
 
+// Permission of the advice service to start tasks of a step on one worker.
 struct StepTicket {
-  std::string text{};
+  std::string text{};  // as the service sent it; passed on to the worker
   Time expires{0};
-  AdviceReason reason = AdviceReason::kFirst;  // of the call that gave it
+  AdviceReason reason = AdviceReason::kFirst;  // of the call that returned it
 };
 
+// Progress of one step in one occurrence of the job.
 struct StepRun {
   std::vector<Task> tasks{};
-  std::uint32_t done = 0;
+  std::uint32_t done = 0;                       // tasks
   std::map<std::string, StepTicket> tickets{};  // by worker
-  std::set<std::string> denied{};               // workers
-  Time asked_at = Time::min();   // whether to ask for advice, last
-  Time called_at = Time::min();  // for advice, last
-  bool asking = false;
-  bool unanswered = false;     // its last question was
-  std::uint32_t declines = 0;  // of its last question, in a row
-  // For the log, what it waited for. kForever: not yet.
-  Time ready_at = kForever;    // its turn came
+  std::set<std::string> denied{};               // workers that advice ruled out
+  Time asked_at = Time::min();   // last check whether to request advice
+  Time called_at = Time::min();  // last advice request
+  bool asking = false;           // an advice request is pending
+  bool unanswered = false;       // the last advice request got no answer
+  std::uint32_t declines = 0;    // consecutive, of the last advice request
+  // Times for the log, which shows what the step waited for. kForever: not yet.
+  Time ready_at = kForever;    // all that it depends on was done
   Time advised_at = kForever;  // first tickets
   Time first_start = kForever;
   Time last_start = kForever;
   Time done_at = kForever;
-  std::uint64_t gang_run = 0;         // of all members
-  std::uint64_t gang_failed_run = 0;  // counted as a failure
-  std::uint64_t gang_started = 0;     // the run whose start was ordered
+  std::uint64_t gang_run = 0;         // the run number that all members share
+  std::uint64_t gang_failed_run = 0;  // the last run counted as a failure
+  std::uint64_t gang_started = 0;     // the last run with a start command
 };
 
+// One execution of a repeated job; a job that is not repeated has one.
 struct Occurrence {
-  std::vector<StepRun> steps{};
+  std::vector<StepRun> steps{};  // empty until it has begun
   bool begun = false;
-  std::int64_t due_ms = 0;
+  std::int64_t due_ms = 0;  // wall time since 1970
 };
 
-// An end that the worker may forget once the progress is stored.
+// The end of a run that is acknowledged to its worker once the store holds the
+// job's progress at this version.
 struct UnstoredEnd {
   std::string from{};  // the member that reported it
   StoredEnd end{};
   std::uint64_t version = 0;
 };
 
-// Who waits for an answer about a job: a caller of this instance or of another.
+// Waits for a reply about a job: a caller of this instance, or of another one
+// that forwarded the query.
 struct Asker {
-  std::string member{};  // empty: a caller here
+  std::string member{};  // the forwarding instance; empty: this one
   std::uint64_t call = 0;
-  Time until = kForever;  // is answered by then, whatever is known
+  Time until = kForever;  // gets a reply then at the latest, with what is known
 };
 
 struct Job {
   std::string id{};
   JobSpec spec{};
   std::string queue{};
-  std::uint64_t generation = 0;
-  std::int64_t accepted_ms = 0;
-  Time created{0};                            // here
-  bool stored = false;                        // the store has it
-  JobState state = JobState::kQueued;         // as this owner sees it
-  JobState stored_state = JobState::kQueued;  // as callers may see it
-  bool started = false;                       // a task has started
+  std::uint64_t generation = 0;               // rises with each new owner
+  std::int64_t accepted_ms = 0;               // wall time since 1970
+  Time created{0};                            // submitted or adopted here
+  bool stored = false;                        // the store holds its record
+  JobState state = JobState::kQueued;         // according to this owner
+  JobState stored_state = JobState::kQueued;  // as reported to callers
+  bool started = false;                       // any task has started
   std::vector<Occurrence> occurrences{};
-  std::uint64_t revision = 0;  // of its record
-  std::uint64_t version = 1;   // of the progress, rises with each change
+  std::uint64_t revision = 0;  // store revision of its record
+  std::uint64_t version = 1;   // of the progress; rises with each change
   std::uint64_t stored_version = 0;
   std::uint64_t writing_version = 0;  // 0: none in flight
   JobState writing_state = JobState::kQueued;
-  Time changed_at = kForever;  // the oldest change that is not stored
-  bool urgent_write = false;
-  Time confirmed_at{0};  // a write of the record was last asked for or done
-  // False after the registration was lost: somebody may have adopted the job,
-  // which the next write to the store tells.
+  Time changed_at = kForever;  // the oldest change that is not yet written
+  bool urgent_write = false;   // write without waiting for more changes
+  Time confirmed_at{0};  // last write of the record that was requested or done
+  // False after the registration was lost: another instance may have adopted
+  // the job; the next write to the store shows whether one has.
   bool verified = true;
   std::vector<UnstoredEnd> unstored{};
-  // After an adoption.
-  bool recovering = false;
-  WorkerSet uncovered{};            // workers that were not heard of yet
-  std::set<std::string> unheard{};  // members that have not answered yet
-  bool asked = false;
-  // Callers that wait for its creation or its cancel to be stored.
+  bool recovering = false;  // adopted; not all of its runs are known yet
+  WorkerSet uncovered{};    // workers whose runs were not reported yet
+  std::set<std::string> unheard{};  // members that have not replied yet
+  bool asked = false;               // the members were queried at least once
+  // Callers that wait until its creation or its cancel is stored.
   std::vector<std::uint64_t> submitters{};
   std::vector<Asker> cancellers{};
-  // Asked for the state while the end may be on its way.
+  // Queried the state while a report of the job's end may be in flight.
   std::vector<Asker> watchers{};
-  bool cancel_wanted = false;  // before it was stored
+  bool cancel_wanted = false;  // before its creation was stored
   Time ended_at = kForever;
   std::int64_t ended_ms = 0;  // wall time since 1970
 };
--- a/Source/engine/jobs/job_model.h
+++ b/Source/engine/jobs/job_model.h
@@ -1,4 +1,5 @@
-// Jobs of steps: what callers hand in and what their tasks are called.
+// Jobs of steps: the specification that callers submit, its limits, and the
+// names of tasks.
 #ifndef BURDOCKROCK_ENGINE_JOBS_JOB_MODEL_H_
 #define BURDOCKROCK_ENGINE_JOBS_JOB_MODEL_H_
 
@@ -17,51 +18,54 @@
 // How one run of a task ended at its worker.
 enum class RunEnd {
   kDone,
-  kFailed,   // by its own fault or the worker's
-  kStopped,  // on an order
-  kLapsed,   // the worker's lease ran out
+  kFailed,   // because of the task or of the worker
+  kStopped,  // by a stop command
+  kLapsed,   // the worker's lease expired
   kBroken,   // another member of its gang ended
-  kAlone,    // the other members of its gang did not come
+  kAlone,    // the other members of its gang did not start in time
 };
 
+// Progress of a job as callers see it.
 enum class JobState { kQueued, kRunning, kCompleted, kFailed, kCancelled };
 
+// The names on the wire.
 const char* RunEndName(RunEnd end);
 const char* JobStateName(JobState state);
 
-// True for states that never change again.
+// True for states that never change.
 constexpr bool IsFinal(JobState state) {
   return state != JobState::kQueued && state != JobState::kRunning;
 }
 
-// A group of like tasks of a job.
+// A group of identical tasks of a job.
 struct StepSpec {
   std::uint32_t count = 1;             // tasks
-  Resources each{};                    // what one task takes
+  Resources each{};                    // resources of one task
   Duration estimate{0};                // rough run time of one task
   std::vector<std::uint32_t> after{};  // earlier steps that must be done first
   bool checkpointing = false;
   bool gang = false;           // all tasks run together or none
   bool same_rack = false;      // slower when its tasks are on several racks
-  std::string label{};         // a label the worker must have; empty: none
-  std::string rack{};          // where its data is; empty: anywhere
-  std::uint32_t spread = 0;    // most tasks of it on one worker; 0: no limit
-  bool concurrent = false;     // copies may run at once
+  std::string label{};         // a label that the worker must have; empty: none
+  std::string rack{};          // the rack that holds its data; empty: any
+  std::uint32_t spread = 0;    // most of its tasks on one worker; 0: no limit
+  bool concurrent = false;     // copies of a task may run concurrently
   bool lasting = false;        // runs until the job is cancelled
-  bool filling = false;        // takes only processors that others leave unused
-  std::string image{};         // what its tasks run
+  bool filling = false;        // uses only processors that others leave idle
+  std::string image{};         // container image of its tasks
   Duration tail_target{0};     // bound on its response times; 0: none
-  std::uint32_t may_miss = 0;  // tasks that may be away at once
+  std::uint32_t may_miss = 0;  // tasks that may be down at once
 
   auto operator<=>(const StepSpec&) const = default;
 };
 
+// A job as submitted.
 struct JobSpec {
-  std::string payload{};
+  std::string payload{};  // passed to each task
   std::vector<StepSpec> steps{};
-  std::uint32_t repetitions = 0;  // 0: once, at once
+  std::uint32_t repetitions = 0;  // 0: once, immediately
   std::int64_t first_due_ms = 0;  // wall time since 1970
-  std::int64_t interval_ms = 0;
+  std::int64_t interval_ms = 0;   // between two occurrences
 
   auto operator<=>(const JobSpec&) const = default;
 
@@ -70,10 +74,11 @@
   }
 };
 
-// Room that one task of the step takes of its worker. Filling tasks take no
-// processors of it.
+// Resources that one task of the step reserves at its worker. Filling tasks
+// reserve no processors.
 Resources RoomOf(const StepSpec& step);
 
+// Why a specification is invalid: the field, what is wrong and what is allowed.
 struct SpecFault {
   std::string path{};  // "steps[2].after[0]"
   std::string problem{};
@@ -82,13 +87,13 @@
   auto operator<=>(const SpecFault&) const = default;
 };
 
-// Bounds on one job, so that one caller's mistake can't exhaust an entry
-// instance's memory. Far above what the sites' jobs need (52 tasks a step).
+// Limits of one job, so that one caller's mistake can't exhaust an entry
+// instance's memory. Far above what jobs of the sites need (52 tasks per step).
 inline constexpr std::uint32_t kMaxSteps = 64;
 inline constexpr std::uint32_t kMaxTasksPerStep = 4096;
 inline constexpr std::size_t kMaxPayloadBytes = 4000;
 
-// The first fault of a job that could never run or would not end.
+// The first fault of a job that could never run or would never end.
 std::optional<SpecFault> CheckSpec(const JobSpec& spec);
 
 // One task of one occurrence of a job.
@@ -101,7 +106,7 @@
   auto operator<=>(const TaskName&) const = default;
 };
 
-// "JOB.OCCURRENCE.STEP.INDEX"
+// "JOB.OCCURRENCE.STEP.INDEX", the name on the wire.
 std::string ToString(const TaskName& name);
 std::optional<TaskName> ParseTaskName(std::string_view text);
 
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -65,7 +65,8 @@
   }
 }
 
-// The store's record of an ended job is kept as long as callers may ask.
+// Removes the store's record of an ended job, which is kept as long as callers
+// may query it.
 void QueueForget(Context& context, const Job& job) {
   QueueChange(
       context,
@@ -123,7 +124,8 @@
 }
 
 void ForgetEnded(Context& context) {
-  // Twice as long as callers may rely on: their clock and ours differ.
+  // Twice the time that callers may rely on, because their clocks and this one
+  // differ.
   const Duration kept = 2 * context.state.options.bounds.state_kept;
   std::vector<std::string> old;
   for (const auto& [id, job] : context.state.jobs) {
@@ -166,7 +168,8 @@
   }
 }
 
-// Another instance has taken the same job, or this one in an earlier life.
+// Another instance has accepted the same job, or an earlier incarnation of this
+// one has.
 void OnCreateConflict(Context& context,
                       const std::string& id,
                       const StoreItem& item) {
@@ -228,7 +231,7 @@
   if (item.revision != 0 && record != nullptr &&
       record->owner == context.self() &&
       record->generation == job->generation) {
-    // An own write that was taken for lost.
+    // The conflict is with an own write whose answer was lost.
     job->revision = item.revision;
     job->urgent_write = true;
     return;
@@ -249,7 +252,7 @@
   if (job == nullptr) {
     return;
   }
-  // Ends on own workers must find the new owner.
+  // Ends on own workers must be reported to the new owner.
   if (const auto known = context.state.known.find(id);
       known != context.state.known.end() &&
       known->second.owner == context.self()) {
--- a/Source/engine/jobs/job_progress.h
+++ b/Source/engine/jobs/job_progress.h
@@ -1,4 +1,4 @@
-// Keeps the store's records of the own jobs up to date.
+// Keeps the store's records of the jobs that this instance owns up to date.
 #ifndef BURDOCKROCK_ENGINE_JOBS_JOB_PROGRESS_H_
 #define BURDOCKROCK_ENGINE_JOBS_JOB_PROGRESS_H_
 
@@ -11,12 +11,14 @@
 // Queues the creation of a new job.
 void QueueCreation(Context& context, const Job& job);
 
-// Queues the progress that is due to be stored.
+// Queues writes of the progress that is due to be stored.
 void DriveProgress(Context& context);
 
-// Forgets ended jobs of which callers may no longer ask.
+// Removes ended jobs that callers may no longer query.
 void ForgetEnded(Context& context);
 
+// Results of the queued writes, with the record's new revision or the record
+// that conflicted.
 void OnCreated(Context& context, const std::string& id, std::uint64_t revision);
 void OnCreateConflict(Context& context,
                       const std::string& id,
@@ -29,21 +31,23 @@
                     const std::string& id,
                     const StoreItem& item);
 
-// The registration was lost: the jobs may be others' by now. Nothing of them is
-// started until the store has confirmed the ownership. Otherwise an instance
-// that comes back would start tasks again that their new owner has seen end.
+// Called when the registration was lost: other instances may have adopted the
+// jobs. No task of them is started until a write to the store has confirmed the
+// ownership. Otherwise an instance that was cut off for a while would start
+// tasks again whose end their new owner has already received.
 void DoubtOwnership(Context& context);
 
-// Another instance owns the job now.
+// Drops a job that another instance owns now, or that has no record any more.
 void DropJob(Context& context, const std::string& id, const char* cause);
 
-// An end is in the job's progress; its worker may forget it once that is
-// stored.
+// Called when an end is in the job's progress: acknowledges it to the worker's
+// owner `from` once that progress is stored.
 void ConfirmWhenStored(Context& context,
                        Job& job,
                        const std::string& from,
                        const EndReport& report);
 
+// The job's progress as it is stored.
 JobRecord RecordOf(const Context& context, const Job& job);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -39,9 +39,11 @@
   task.heard = context.now;
 }
 
-// Ends come again within seconds, in which a task does not end so often.
+// Number of counted runs kept per task to ignore repeated reports of an end.
+// Reports repeat within seconds, in which a task can't end this often.
 constexpr std::size_t kEndedRunsKept = 16;
 
+// A task with the job and step that it belongs to.
 struct Place {
   Job& job;
   StepRun& step;
@@ -67,8 +69,8 @@
                .spec = job->spec.steps[name->step]};
 }
 
-// A member of a gang will not run: the others' room and runs are given back,
-// and all of them begin anew together.
+// Stops all members of a gang after one of them ended or was refused: their
+// room and runs are released, and the gang starts again as a whole.
 void BreakGang(Context& context, const Place& place) {
   StepRun& step = place.step;
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
@@ -78,8 +80,8 @@
   }
 }
 
-// The worker would be chosen again at once: the view of it does not show why it
-// refused.
+// Whether the known state of the worker does not explain its refusal, so that
+// it would be chosen again at once.
 bool LooksFree(const Context& context,
                const Place& place,
                const std::string& worker) {
@@ -93,7 +95,7 @@
                     const OfferAnswer& answer) {
   if (answer.outcome == OfferOutcome::kOldRun ||
       answer.outcome == OfferOutcome::kOldOwner) {
-    return kOfferRepeat;  // the end of a run as high may be on its way
+    return kOfferRepeat;  // the end of a run as high or higher may be in flight
   }
   return LooksFree(context, place, answer.worker) ? kRefusedPause : Duration(0);
 }
@@ -113,7 +115,7 @@
   }
   if (answer.outcome == OfferOutcome::kOldOwner &&
       place.job.version == place.job.stored_version) {
-    MarkChanged(context, place.job, true);  // the store knows whose it is
+    MarkChanged(context, place.job, true);  // the write shows who owns the job
   }
   Requeue(context, place.task, PauseAfter(context, place, answer));
   if (place.spec.gang) {
@@ -129,8 +131,8 @@
     }
     TaskName name = place.name;
     name.index = index;
-    // A stop for the run that has just ended would only have its end reported
-    // once more.
+    // A stop of the run that has just ended would only cause another report of
+    // its end.
     const bool over = index == place.name.index && task.run == run;
     if (task.copy) {
       StopOther(context, place.job, name, task, run);
@@ -154,7 +156,7 @@
   context.state.placement_due = true;
 }
 
-// The run is there and does not go on.
+// The run exists but makes no progress.
 void OnStill(Context& context, const Place& place) {
   place.task.heard = context.now;
   if (place.spec.concurrent) {
@@ -166,8 +168,8 @@
   }
 }
 
-// Lasting tasks serve somebody: at most as many of a step as its budget says,
-// and one where it says nothing, may be away at once.
+// Limits disruption of lasting tasks, which serve requests: at most `may_miss`
+// of a step, or one if that is 0, may be down at once.
 bool MayTakeAway(const Context& context, const Place& place) {
   if (!place.spec.lasting) {
     return true;
@@ -182,7 +184,7 @@
   return away < std::max(place.spec.may_miss, 1U);
 }
 
-// Its worker is to be emptied.
+// The run's worker is being drained.
 void OnUnwanted(Context& context, const Place& place) {
   place.task.heard = context.now;
   if (!place.task.stopping && MayTakeAway(context, place)) {
@@ -191,7 +193,7 @@
   }
 }
 
-// Counts a failed run: of a gang once, however many members say so.
+// Counts a failed run; a gang's run once, however many members report it.
 std::uint32_t CountFailure(const Place& place, std::uint64_t run) {
   if (!place.spec.gang) {
     return ++place.task.failures;
@@ -243,8 +245,8 @@
     CompleteIfDone(context, place.job);
     return;
   }
-  // An end that was counted before an adoption still frees its task: a former
-  // owner of the worker may have reported the run.
+  // An end that was counted before an adoption must still release its task: the
+  // run may have been reported by a former owner of the worker.
   if (task.ended_runs.insert(report.run).second) {
     CountEnd(context, place, report);
   }
@@ -259,8 +261,8 @@
   }
 }
 
-// A task had two runs when its job was adopted: the second one that is reported
-// is kept as the copy. False if it is none.
+// If a task had two runs when its job was adopted, keeps the one reported
+// second as the copy. False if the report is of no such run.
 bool AdoptCopy(Context& context, const Place& place, const RunReport& report) {
   Task& task = place.task;
   const bool second = place.job.recovering && place.spec.concurrent &&
@@ -275,9 +277,9 @@
   return second;
 }
 
-// A run that the job has no use for: it has ended, the task is done, or a later
-// run of it is out. Nobody else would stop it, and the end of the job stops
-// only what is known here.
+// A run that is no longer needed: the job has ended, the task is done, or a
+// later run of it was placed. It has to be stopped here, because no one else
+// would stop it and the end of the job stops only the runs that it knows.
 bool IsStray(const Place& place, const RunReport& report) {
   const Task& task = place.task;
   const bool is_known = IsOut(task) && report.run == task.run;
@@ -299,8 +301,8 @@
                std::map<std::string, RunQueries>& queries) {
   const Duration patience =
       task.phase == TaskPhase::kOffered ? kOfferRepeat : kRunCheck;
-  // The worker's owner must be asked for the run even if it reports it unasked:
-  // it takes a run that nobody asks for as forgotten.
+  // The worker's owner has to be queried even if it reports the run on its own:
+  // it treats a run that is never queried as abandoned.
   const bool due = HasPassed(context.now, task.heard, patience) ||
                    HasPassed(context.now, task.queried, kRunCheck);
   if (!IsOut(task) || task.stopping || !due) {
@@ -313,24 +315,24 @@
     RunQueries& query = queries[owner];
     query.runs.push_back(
         {.task = ToString(name), .run = task.run, .worker = task.worker});
-    // The owner may have started after the worker left the list, and would
-    // never report what ran there.
+    // The owner may have started after the worker left the list. Without this
+    // it would never report what ran there.
     if (auto worker = RememberedFor(context.state, task.worker)) {
       query.remembered.push_back(std::move(*worker));
     }
   }
 }
 
-// Runs of an ended job that were heard of only afterwards, as in an adoption,
-// have to be stopped too.
+// Sends and repeats stops. Also stops runs of an ended job that were reported
+// only after its end, as in an adoption.
 void DriveStops(Context& context, Job& job) {
   const bool ended = IsFinal(job.state);
   ForEachTask(job, [&](const TaskName& name, Task& task) {
     if (ended && IsOut(task) && !task.stopping) {
       StopTask(context, job, name, task);
     }
-    // Reports that the run is still there do not delay the next order: an
-    // adopter gets them with each question.
+    // The repetition does not depend on the last update: an adopter receives
+    // one with each query, which would delay the next stop without end.
     if (task.stopping && HasPassed(context.now, task.stop_sent, kOfferRepeat)) {
       StopTask(context, job, name, task);
     }
@@ -340,7 +342,7 @@
   });
 }
 
-// Nothing of the job is out and all of it is stored.
+// No run of the job is left and all of its progress is stored.
 bool IsSettled(Job& job) {
   if (!IsFinal(job.stored_state) || !job.unstored.empty() || job.recovering ||
       job.stored_version != job.version) {
@@ -417,7 +419,7 @@
     return;
   }
   if (place->task.phase == TaskPhase::kDone || IsFinal(place->job.state)) {
-    // It counts no more; only that its run is over does.
+    // The result no longer counts, but the run has to be released.
     if (IsCopy(place->task, report.run)) {
       OnCopyReport(context, place->task, RunState::kAbsent);
     } else if (report.run == place->task.run && IsOut(place->task)) {
@@ -482,7 +484,7 @@
                   {{"task", report.task},
                    {"run", std::to_string(report.run)},
                    {"worker", report.worker}});
-      // Its offer may be what got lost, and with it the room kept for it.
+      // The offer may have been lost; then the room deducted for it is free.
       DoubtRoom(context, report.worker);
       if (PromoteCopy(context, task)) {
         break;
--- a/Source/engine/jobs/job_runs.h
+++ b/Source/engine/jobs/job_runs.h
@@ -1,4 +1,5 @@
-// What becomes of the own jobs' runs.
+// Tracks the runs of the jobs that this instance owns: replies to offers,
+// reported ends and states, lost workers, and repeated queries and stops.
 #ifndef BURDOCKROCK_ENGINE_JOBS_JOB_RUNS_H_
 #define BURDOCKROCK_ENGINE_JOBS_JOB_RUNS_H_
 
@@ -16,25 +17,26 @@
                   const EndReports& reports);
 void OnRunReports(Context& context, const RunReports& reports);
 
-// One of them, also as part of an adoption.
+// A single report, also as part of the recovery of an adopted job.
 void OnEndReport(Context& context,
                  const std::string& from,
                  const EndReport& report);
 void OnRunReport(Context& context, const RunReport& report);
 
-// The task waits for a worker, from `pause` on.
+// Makes the task wait for a worker again, after `pause` at the earliest.
 void Requeue(Context& context, Task& task, Duration pause);
 
-// Whom to ask about a run at the worker; empty if there is nobody.
+// The member to query about runs at the worker; empty if there is none.
 std::string OwnerOfWorker(const Context& context, const std::string& worker);
 
-// All that ran at the worker has ended.
+// Handles a lost worker: all of its runs have ended.
 void OnWorkerLost(Context& context, const std::string& worker);
 
-// Begins the occurrences whose time has come.
+// Begins the occurrences that are due.
 void DriveOccurrences(Context& context);
 
-// Asks about runs that were not heard of, and repeats stops.
+// Queries runs without a recent update, repeats stops, gives up late bookings,
+// and drops ended jobs from the active set once nothing of them runs.
 void DriveJobs(Context& context);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/open_work.cc
+++ b/Source/engine/jobs/open_work.cc
@@ -30,7 +30,7 @@
   }
 }
 
-// When the claim was first sent; it may not have been yet.
+// When the claim was first sent; `now` if it was not sent yet.
 Time ClaimedSince(const OwnedWorker& worker, Time now) {
   if (worker.silent_since != Time(0)) {
     return worker.silent_since;
--- a/Source/engine/jobs/open_work.h
+++ b/Source/engine/jobs/open_work.h
@@ -1,4 +1,4 @@
-// What is open at this instance and since when, for operators.
+// Counts of unfinished work at this instance and its age, for operators.
 #ifndef BURDOCKROCK_ENGINE_JOBS_OPEN_WORK_H_
 #define BURDOCKROCK_ENGINE_JOBS_OPEN_WORK_H_
 
@@ -11,7 +11,7 @@
 
 namespace burdockrock::engine {
 
-// Things of one kind, and for how long the oldest of them has been open.
+// Number of open items of one kind and the age of the oldest.
 struct OpenKind {
   std::size_t count = 0;
   Duration oldest{0};
@@ -20,11 +20,11 @@
 };
 
 struct OpenWork {
-  OpenKind recoveries{};  // own jobs of which is not known yet what runs
-  OpenKind claims{};      // workers that have not answered a claim
-  // Runs of own jobs that were ordered to stop and are not known to have ended.
+  OpenKind recoveries{};  // own jobs whose runs are not all known yet
+  OpenKind claims{};      // own workers that have not answered the claim
+  // Runs of own jobs with a stop command that are not known to have ended.
   OpenKind stops_of_jobs{};
-  // Runs on own workers likewise.
+  // The same for runs on own workers.
   OpenKind stops_at_workers{};
 
   auto operator<=>(const OpenWork&) const = default;
@@ -41,7 +41,7 @@
   Time stopping_since{0};
 };
 
-// Of all tasks and their copies.
+// The open runs of all tasks and their copies.
 std::vector<OpenRun> OpenRunsOf(const Job& job);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/placement_rule.cc
+++ b/Source/engine/jobs/placement_rule.cc
@@ -7,37 +7,39 @@
 
 namespace {
 
-// A task whose data is on another rack takes 2 to 3 times as long; no packing
-// outweighs that.
+// A task whose data is on another rack takes 2 to 3 times as long, which no
+// better packing outweighs.
 constexpr double kOtherRack = 10;
-// The worker where it failed last is taken when there is no other.
+// The worker where the task failed last is used only if there is no other.
 constexpr double kAvoided = 5;
-// An offer across failure domains takes two hops and its bytes.
+// An offer to another failure domain costs two hops and bandwidth.
 constexpr double kOtherDomain = 0.01;
-// For work with a tight objective: a short job that runs in its owner's domain
-// alone outlives a cut of any other one, which no packing outweighs. Longer
-// jobs outlast a cut.
+// For work with a tight objective: a short job that runs only in its owner's
+// domain is not affected when another domain is cut off, which no better
+// packing outweighs. Longer jobs outlast such a cut.
 constexpr double kOtherDomainTight = 2;
-// What is known of another owner's worker lags, an offer to it costs messages,
-// and all instances would take the same one for the best. Half of this is for
-// any other owner; the rest is each instance's own order of them.
+// The known state of another owner's worker lags, an offer to it costs
+// messages, and all instances would choose the same worker as the best. Half of
+// this applies to every other owner's worker; the rest spreads the instances by
+// each one's own order of the workers.
 constexpr double kOtherOwner = 0.5;
-// The last room that seems to be left at another owner's worker is often gone
-// when the offer arrives. This is shared by the tasks that fit. Work that has
-// time packs tightly all the same, as room for wide steps takes long calls for
-// advice to find.
+// The last free room at another owner's worker is often taken when the offer
+// arrives. Divided by the number of tasks that fit. Work without a tight
+// objective is packed tightly nevertheless, because finding room for wide steps
+// takes long advice calls.
 constexpr double kLastRoom = 1;
-// Of two dimensions that are left in unlike shares one can't be used.
+// If processors and memory are left in unequal shares, part of one is unusable.
 constexpr double kUnbalanced = 0.5;
 
-// A task on a slow worker misses a tight objective as soon as anything else
-// goes wrong.
+// A task on a slow worker misses a tight objective as soon as any other delay
+// occurs.
 constexpr double kSlow = 2;
-// Objectives in chains: from the first on speed does not matter, below the
-// second it counts whole.
+// Objectives as a multiple of the run time of a job's longest chain of steps:
+// from the first on speed has no positive weight, up to the second it has full
+// weight.
 constexpr double kRelaxedStretch = 2.2;
 constexpr double kTightStretch = 1.5;
-// Work that has time rather takes the slow workers.
+// Work with a relaxed objective slightly prefers slow workers.
 constexpr double kRelaxedWeight = -0.1;
 
 double ShareLeft(std::int64_t free, std::int64_t need, std::int64_t capacity) {
--- a/Source/engine/jobs/placement_rule.h
+++ b/Source/engine/jobs/placement_rule.h
@@ -1,4 +1,5 @@
-// Which worker a task goes to. A pure function of what is known of the workers.
+// The cost function that chooses a worker for a task. A pure function of the
+// known state of the workers.
 #ifndef BURDOCKROCK_ENGINE_JOBS_PLACEMENT_RULE_H_
 #define BURDOCKROCK_ENGINE_JOBS_PLACEMENT_RULE_H_
 
@@ -13,48 +14,53 @@
 
 namespace burdockrock::engine {
 
-// A worker as one round of placement sees it.
+// A worker in one placement round.
 struct Candidate {
   const WorkerInfo* worker = nullptr;
   Resources free{};
-  Resources yielding{};  // could be freed for the most urgent work
+  Resources yielding{};  // what preemption could release
   bool own_domain = false;
-  // 1: this instance owns it. Others' have less, down to 0, by chance but
-  // always the same.
+  // 1 if this instance owns the worker. Lower, down to 0, for workers of other
+  // owners: a hash of instance and worker, so that each instance has a fixed
+  // order of its own.
   double liking = 0;
-  double slowness = 1;  // against the mean of the service's workers
+  double slowness = 1;  // relative to the mean of the service's workers
 };
 
+// What one task requires of a worker.
 struct PlacementNeed {
   const StepSpec* step = nullptr;
   Resources room{};
-  // How much a fast worker counts; 0: not at all.
+  // Weight of a worker's speed in the cost; 0: none.
   double speed_weight = 0;
-  // Kept free for work that goes first, as a share of the worker's processors.
+  // Share of the worker's processors that is kept free for higher priorities.
   double reserve = 0;
-  std::string avoid{};  // a worker, unless there is no other
-  std::string rack{};   // only there; empty: anywhere
+  std::string avoid{};  // worker to use only if there is no other
+  std::string rack{};   // the only rack allowed; empty: any
 };
 
-// Work with a tight objective goes to fast workers; work that has time leaves
-// them free.
+// Weight of a worker's speed for a queue whose objective is `stretch` times the
+// estimated run time. Work with a tight objective goes to fast workers; other
+// work leaves them free.
 double SpeedWeight(double stretch);
 
-// Whether the task may ever run on the worker.
+// Whether a task of the step can ever run on the worker, by its labels and
+// total capacity.
 bool MayRunOn(const StepSpec& step, const WorkerInfo& worker);
 
-// How many tasks have room there, less what the queue leaves to others: what
-// counts the room otherwise than placement does waits for room that it never
+// How many such tasks fit in `free` resources of the worker, less the share
+// that the queue leaves to others. Used by everything that counts room: code
+// that counts it differently from placement would wait for room that it never
 // gets.
 std::int64_t CountRoomFor(const PlacementNeed& need,
                           const WorkerInfo& worker,
                           Resources free);
 
-// Whether it has room now.
+// Whether the worker has room for one such task now.
 bool HasRoomNow(const PlacementNeed& need, const Candidate& candidate);
 
-// Lower is better: how much room is left over in a way that other tasks can't
-// use, and how far data and orders travel.
+// Lower is better. Counts room that would be left in a form that other tasks
+// can't use, and the distance that data and commands travel.
 double PlacementCost(const PlacementNeed& need, const Candidate& candidate);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/placing.cc
+++ b/Source/engine/jobs/placing.cc
@@ -17,21 +17,22 @@
 
 namespace {
 
-// Placement is tried again after this long though nothing has changed.
+// Interval of placement rounds while nothing has changed.
 constexpr Duration kIdleRound = milliseconds(100);
 
-// Share of each worker's processors that a queue leaves free for those that go
-// before it, so that short urgent tasks need not wait for long ones to end.
+// Share of each worker's processors that a queue leaves free, for each priority
+// above its own, so that short urgent tasks need not wait for long ones to end.
 constexpr double kReservePerPriority = 0.06;
 
-// Urgent work that has waited so long is about to miss its objective; sooner,
-// stopping others costs more than it brings.
+// Urgent work that has waited this long is about to miss its objective. Earlier
+// preemption costs more than it gains.
 constexpr Duration kPreemptAfter = milliseconds(800);
 
+// State of one placement round.
 struct Round {
   Context& context;
   std::map<std::string, std::vector<Candidate>> by_service{};
-  // By the workers' owner.
+  // By owner of the workers.
   std::map<std::string, std::vector<TaskOffer>> offers{};
 };
 
@@ -54,8 +55,8 @@
          it->second.expires > context.now + kTicketMargin;
 }
 
-// Most steps that wait have none, and looking through all workers for them
-// finds nothing.
+// Most waiting steps have no ticket; this avoids a scan of all workers for
+// them.
 bool HasAnyTicket(const Context& context, const ReadyStep& ready) {
   const auto& tickets = ready.run().tickets;
   return !ready.queue->advice ||
@@ -75,9 +76,9 @@
   return HasRoomNow(need, emptied);
 }
 
-// Workers on which tasks of the step may run, and that have room for one at
-// least: in a round room only gets less. Room is checked before the ticket,
-// which has to be looked up by name.
+// Workers on which tasks of the step may run and that have room for at least
+// one: during a round, room only shrinks. Room is checked before the ticket
+// because the ticket is looked up by name.
 std::vector<Candidate*> OpenTo(const Context& context,
                                const ReadyStep& ready,
                                const PlacementNeed& need,
@@ -98,8 +99,9 @@
 struct Choice {
   const ReadyStep& ready;
   std::vector<Candidate*> open;
-  std::map<std::string, std::uint32_t> placed{};  // if that is bounded
-  std::string not_on{};                           // a worker; empty: any
+  // Tasks by worker; filled only if the step limits them.
+  std::map<std::string, std::uint32_t> placed{};
+  std::string not_on{};  // worker to exclude; empty: none
   bool preempts = false;
 };
 
@@ -172,7 +174,7 @@
   const auto ticket = ready.run().tickets.find(attempt.worker);
   Totals& totals = round.context.state.totals;
   ++totals.offers;
-  // Room that is booked for a gang is offered once more for the start.
+  // A gang's start is a second offer of its booked room; only it is counted.
   if (ticket != ready.run().tickets.end() && kind != OfferKind::kBooking) {
     ++totals.advice[ticket->second.reason].starts;
   }
@@ -224,7 +226,7 @@
   const bool any_due =
       std::any_of(tasks.begin(), tasks.end(),
                   [&](const Task& it) { return IsDue(round.context, it); });
-  // Most ready steps have all of their tasks out.
+  // Most ready steps have no task that waits.
   if (!any_due || !HasAnyTicket(round.context, ready)) {
     return;
   }
@@ -246,7 +248,7 @@
       best = Choose(choice, need);
     }
     if (best == nullptr) {
-      return;  // the others need as much
+      return;  // the other tasks need the same room
     }
     ++choice.placed[best->worker->id];
     Assign(round, need.room, *best, task, NextRun(*ready.job, LastRun(task)));
@@ -259,7 +261,8 @@
   }
 }
 
-// Only where room is left by the tasks that wait: a copy may be needless.
+// Places copies only in room that waiting tasks leave free, because a copy may
+// turn out unnecessary.
 void PlaceCopies(Round& round, const ReadyStep& ready) {
   std::vector<Task>& tasks = ready.run().tasks;
   for (std::uint32_t it = 0; it < tasks.size(); ++it) {
@@ -295,7 +298,7 @@
                      [phase](const Task& it) { return it.phase == phase; });
 }
 
-// Workers for all members, in the order of the tasks; nothing if not all fit.
+// Workers for all members, in the order of the tasks; empty if not all fit.
 std::vector<Candidate*> FitGang(const ReadyStep& ready,
                                 const std::vector<Candidate*>& open,
                                 const std::string& rack) {
@@ -362,7 +365,7 @@
     last = std::max(last, it.run);
   }
   step.gang_run = NextRun(*ready.job, last);
-  // All members resume from the same point.
+  // All members resume from the same checkpoint.
   std::string checkpoint;
   for (const Task& it : step.tasks) {
     checkpoint = std::max(checkpoint, it.checkpoint);
@@ -375,8 +378,8 @@
   }
 }
 
-// Once all room is booked all members are started at once: members that come
-// late let those before them wait, and end when it takes too long.
+// Starts all members together once room is booked for each of them: members
+// that start early wait for the late ones, and end if that takes too long.
 void StartGang(Round& round, const ReadyStep& ready) {
   StepRun& step = ready.run();
   const bool all_booked = std::all_of(step.tasks.begin(), step.tasks.end(),
@@ -404,8 +407,8 @@
   }
 }
 
-// All tasks of the step are out or done, and by their estimate the last ones
-// end within `lead`.
+// All tasks of the step are running or done, and by their estimate the last
+// ones end within `lead`.
 bool EndsSoon(const Context& context,
               Job& job,
               std::uint32_t occurrence,
@@ -542,9 +545,9 @@
     if (!it.job->stored || !it.job->verified) {
       continue;
     }
-    // A worker that was not heard of yet may list failed runs: started again
-    // now, a task would have more runs than its queue allows. Lasting ones have
-    // no such limit.
+    // A worker that has not reported yet may list failed runs of the job.
+    // Starting a task again before that could exceed the attempts that its
+    // queue allows. Lasting tasks have no such limit.
     if (it.job->recovering && !it.spec().lasting) {
       continue;
     }
--- a/Source/engine/jobs/placing.h
+++ b/Source/engine/jobs/placing.h
@@ -1,4 +1,4 @@
-// Rounds of placement: which waiting task is offered to which worker.
+// Placement rounds: which waiting task is offered to which worker.
 #ifndef BURDOCKROCK_ENGINE_JOBS_PLACING_H_
 #define BURDOCKROCK_ENGINE_JOBS_PLACING_H_
 
@@ -14,47 +14,50 @@
 
 namespace burdockrock::engine {
 
-// A step with tasks that may run now.
+// A step whose tasks may run now or soon.
 struct ReadyStep {
   Job* job = nullptr;
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
   const QueuePolicy* queue = nullptr;
-  bool ready = true;  // false: its turn comes soon
+  bool ready = true;  // false: its dependencies are expected to be done soon
 
   const StepSpec& spec() const { return job->spec.steps[step]; }
   StepRun& run() const { return job->occurrences[occurrence].steps[step]; }
 };
 
-// How long before its turn a step counts as ready soon. Nothing: only then.
+// How long before its dependencies are done a step counts as ready soon.
+// nullopt: never.
 using StepLead =
     std::function<std::optional<Duration>(const QueuePolicy&, const StepSpec&)>;
 
-// In the order in which they are served. With `lead` also steps that are ready
-// soon: all they wait for is expected to be done by then.
+// All steps that are ready, sorted by the priority of their queue and then by
+// how long they have been ready. With `lead` also steps whose dependencies are
+// expected to be done within that time.
 std::vector<ReadyStep> ReadySteps(Context& context,
                                   const StepLead& lead = nullptr);
 
-// Tasks of the step on each worker, where their number is bounded.
+// Number of the step's tasks by worker. Empty if the step sets no limit on it.
 std::map<std::string, std::uint32_t> CountPlaced(const ReadyStep& ready);
 
-// Whether runs of less urgent work may be stopped for it: only for the most
-// urgent, and only when it has waited, as room that others are about to give
-// back costs nothing.
+// Whether runs of lower priority may be stopped for the step: only for the
+// highest priority, and only after a delay, because room that is about to be
+// released costs nothing.
 bool MayPreempt(const Context& context, const ReadyStep& ready);
 
-// What one task of the step needs of a worker.
+// What one task of the step requires of a worker.
 PlacementNeed NeedOf(const ReadyStep& ready);
 
-// How many more tasks of the step may start at the worker, with this much free
-// there. What counts the room otherwise than placement does takes for enough
-// what never is.
+// How many more tasks of the step may start at the worker with `free` resources
+// there. Advice, logs and metrics must use it too: a count that differs from
+// that of placement can report enough room where no task is ever placed.
 std::int64_t CountStarts(const ReadyStep& ready,
                          const std::map<std::string, std::uint32_t>& placed,
                          const PlacementNeed& need,
                          const WorkerInfo& worker,
                          const Resources& free);
 
+// Runs a placement round if one is due, and sends its offers.
 void DrivePlacement(Context& context);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -21,7 +21,8 @@
   LocalRun* run = nullptr;
 };
 
-// The least urgent first, and of these the ones that have run the shortest.
+// Lowest priority first; within a priority, the shortest time in its phase
+// first.
 std::vector<Victim> VictimsOf(OwnedWorker& worker) {
   std::vector<Victim> victims;
   for (auto& [task, run] : worker.runs) {
@@ -37,7 +38,7 @@
   return victims;
 }
 
-// What will be free when all that is being stopped has ended.
+// Room that will be free when all runs that are being stopped have ended.
 Resources FutureRoom(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
@@ -48,7 +49,7 @@
   return free;
 }
 
-// What the worker has left beside everything that is there now.
+// Room that is free now: runs that wait for room do not use theirs yet.
 Resources PresentRoom(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
--- a/Source/engine/jobs/preemption.h
+++ b/Source/engine/jobs/preemption.h
@@ -1,4 +1,5 @@
-// Stops runs of less urgent work for the sake of the most urgent one.
+// Preemption: stops runs of lower priority to make room for work of the highest
+// priority.
 #ifndef BURDOCKROCK_ENGINE_JOBS_PREEMPTION_H_
 #define BURDOCKROCK_ENGINE_JOBS_PREEMPTION_H_
 
@@ -8,19 +9,19 @@
 
 namespace burdockrock::engine {
 
-// Room of the runs that can be stopped at little cost: they checkpoint, so that
-// a stop throws nothing away, and nobody else depends on them.
+// Room of the runs that can be preempted at little cost: they checkpoint, so
+// that a stop discards no work, and nothing else depends on them.
 Resources YieldingRoom(const OwnedWorker& worker);
 
-// Orders stops until `room` will be free. False, and nothing is stopped, if it
-// would not be.
+// Stops as many runs as it takes to make `room` free. False, with nothing
+// stopped, if all of them would not suffice.
 bool MakeRoom(Context& context,
               const std::string& id,
               OwnedWorker& worker,
               const Resources& room);
 
-// Starts the run that was waiting once the room is free: what is being stopped
-// still takes its room.
+// Starts runs that wait for room once it is free: a run that is being stopped
+// keeps its room until it ends. Refuses those that have waited too long.
 void DriveAwaiting(Context& context,
                    const std::string& id,
                    OwnedWorker& worker);
--- a/Source/engine/jobs/step_waits.cc
+++ b/Source/engine/jobs/step_waits.cc
@@ -42,7 +42,8 @@
          (task.phase == TaskPhase::kUnknown && ready.job->recovering);
 }
 
-// Nothing of the step may start before all that may run it was heard of.
+// No task of the step may start before all workers that may run it have
+// reported. Lasting tasks known to have no run are exempt.
 bool WaitsForRecovery(const ReadyStep& ready) {
   const auto& tasks = ready.run().tasks;
   return ready.job->recovering &&
@@ -64,7 +65,7 @@
   if (all_pause) {
     return WaitCause::kPause;
   }
-  // A gang starts as a whole.
+  // All tasks of a gang start together.
   const std::size_t least = ready.spec().gang ? ready.run().tasks.size() : 1;
   const std::size_t usable = ready.queue->advice ? wait.ticketed : wait.room;
   if (usable >= least) {
--- a/Source/engine/jobs/step_waits.h
+++ b/Source/engine/jobs/step_waits.h
@@ -1,4 +1,4 @@
-// What the tasks of a step wait for, for logs and metrics.
+// Why the tasks of a step wait, for logs and metrics.
 #ifndef BURDOCKROCK_ENGINE_JOBS_STEP_WAITS_H_
 #define BURDOCKROCK_ENGINE_JOBS_STEP_WAITS_H_
 
@@ -10,32 +10,35 @@
 namespace burdockrock::engine {
 
 enum class WaitCause {
-  kRecovery,   // not all that may run it was heard of after an adoption
-  kRecord,     // the job's record is being written or read
-  kAdvice,     // a question for advice is out
-  kTickets,    // no worker with a ticket has room, and none is asked for; of a
-               // gang: not for all of it
-  kRoom,       // no worker that may run it has room; of a gang: not for all
-  kPause,      // a failed or refused start is not tried again yet
-  kPlacement,  // the next round of placement can start it
+  kRecovery,   // after an adoption not all of its possible runs are known
+  kRecord,     // the job's record is not stored, or its ownership is unverified
+  kAdvice,     // an advice request is pending
+  kTickets,    // no worker with a ticket has room (for a gang: for all of it),
+               // and no advice request is pending
+  kRoom,       // no worker that may run it has room (for a gang: for all of it)
+  kPause,      // delay after a failed or refused start
+  kPlacement,  // none of these: the next placement round can start it
 };
 
+// The name in the log and in metrics.
 const char* WaitCauseName(WaitCause cause);
 
+// A step's wait and the numbers that explain it.
 struct StepWait {
   WaitCause cause = WaitCause::kRoom;
-  std::size_t tasks = 0;     // that wait
-  std::size_t room = 0;      // tasks that fit at all workers that may run it
-  std::size_t ticketed = 0;  // of these at workers with a valid ticket
-  std::size_t tickets = 0;   // valid ones
+  std::size_t tasks = 0;     // waiting tasks
+  std::size_t room = 0;      // tasks that fit on all workers that may run it
+  std::size_t ticketed = 0;  // of these, on workers with a valid ticket
+  std::size_t tickets = 0;   // valid tickets
   std::size_t denied = 0;    // workers that advice has ruled out
   Duration asked{0};         // since advice was last considered; 0: never
 };
 
-// Since when the first of the step's waiting tasks waits; kForever: none does.
+// When the longest waiting task of the step began to wait; kForever: none
+// waits.
 Time OldestWait(const ReadyStep& ready);
 
-// Looks at all workers: not for each round.
+// Scans all workers, so it is too slow for every placement round.
 StepWait WaitOf(const Context& context, const ReadyStep& ready);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/task_copies.cc
+++ b/Source/engine/jobs/task_copies.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A copy that found no room or was refused is tried again after this long.
+// Delay before a refused copy is offered again.
 constexpr Duration kCopyRetry = milliseconds(200);
 
 }  // namespace
--- a/Source/engine/jobs/task_copies.h
+++ b/Source/engine/jobs/task_copies.h
@@ -1,6 +1,7 @@
-// Second runs of tasks whose step allows copies: the first to finish counts.
-// They are started when the first run stands still or its worker can't be
-// reached, so that the step need not wait for the worker's leases to run out.
+// Second runs of tasks whose step allows concurrent copies: the run that
+// finishes first counts. A copy is started when the first run is stalled or its
+// worker can't be reached, so that the step need not wait until the worker's
+// leases expire.
 #ifndef BURDOCKROCK_ENGINE_JOBS_TASK_COPIES_H_
 #define BURDOCKROCK_ENGINE_JOBS_TASK_COPIES_H_
 
@@ -11,25 +12,26 @@
 
 namespace burdockrock::engine {
 
-// The task's run may not end soon: a copy is placed when there is room.
+// Requests a copy of a task whose run may not end soon; it is placed when there
+// is room.
 void WantCopy(Context& context, const StepSpec& spec, Task& task);
 
-// Whether the task waits for a worker for its copy.
+// Whether the task has a requested copy that is not placed yet.
 bool WaitsForCopy(const Task& task);
 
-// Whether the run is the task's copy.
+// Whether `run` is that of the task's copy.
 bool IsCopy(const Task& task, std::uint64_t run);
 
-// The worker has answered whether the copy runs.
+// Handles the answer to the copy's offer, and a report of its state.
 void OnCopyAnswer(Context& context, Task& task, OfferOutcome outcome);
 void OnCopyReport(Context& context, Task& task, RunState state);
 
-// The copy takes the place of the first run, which is over. False if there is
-// none that runs.
+// Replaces the task's first run, which has ended, by its copy. False if there
+// is no copy or it is being stopped.
 bool PromoteCopy(Context& context, Task& task);
 
-// The task is done by the run: the other one, if any, is stopped. It is kept as
-// the copy until its end is known.
+// Called when `done_run` has completed the task: stops the other run, if any,
+// and keeps it as the copy until its end is known.
 void StopOther(Context& context,
                const Job& job,
                const TaskName& name,
@@ -41,7 +43,8 @@
               const TaskName& name,
               Task& task);
 
-// Asks about copies that were not heard of for long; repeats their stops.
+// Adds a query to `queries`, by the owner of the worker, if the copy had no
+// recent update; repeats its stop.
 void DriveCopy(Context& context,
                const Job& job,
                const TaskName& name,
--- a/Source/engine/jobs/worker_set.h
+++ b/Source/engine/jobs/worker_set.h
@@ -1,4 +1,5 @@
-// Sets of workers, a bit each: every adopted job keeps one of all workers.
+// Sets of workers as bit sets: every adopted job keeps a set that begins with
+// all workers, so a set has to be small.
 #ifndef BURDOCKROCK_ENGINE_JOBS_WORKER_SET_H_
 #define BURDOCKROCK_ENGINE_JOBS_WORKER_SET_H_
 
@@ -12,10 +13,10 @@
 
 namespace burdockrock::engine {
 
-// The numbers by which the sets of one instance name workers.
+// Assigns the worker numbers that the sets of one instance use.
 class WorkerNumbers {
  public:
-  // Gives it one if it has none.
+  // Assigns a number if the worker has none.
   std::uint32_t NumberOf(const std::string& worker);
   std::optional<std::uint32_t> Find(const std::string& worker) const;
   const std::string& NameOf(std::uint32_t number) const;
@@ -25,6 +26,7 @@
   std::vector<std::string> names_{};
 };
 
+// A set of worker numbers.
 class WorkerSet {
  public:
   void Insert(std::uint32_t number);
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -9,13 +9,15 @@
 
 namespace {
 
-// An owner that is gone is replaced within a second or so.
+// Shortest interval between two reads of a record: a lost owner is replaced
+// within about a second.
 constexpr Duration kRecordAge = milliseconds(150);
-// Entries that nobody asked for are forgotten.
+// Entries that were not used for this long are removed.
 constexpr Duration kKept = milliseconds(60'000);
-// Whose a job is that has neither runs nor ends here counts for messages that
-// are late, and for former owners that do not know yet that they are. They have
-// given up after kMaxWithoutStore; fifty times as long costs little memory.
+// The owner of a job without runs or ends here is still needed for late
+// messages and for former owners that do not know yet that they were replaced.
+// These have given up after kMaxWithoutStore; fifty times that costs little
+// memory.
 constexpr Duration kKnownKept = milliseconds(600'000);
 
 std::size_t ReadsInFlight(const State& state) {
@@ -28,7 +30,7 @@
   return n;
 }
 
-// How many reads it has begun.
+// Starts the reads that the entry needs now. Returns their number.
 std::size_t Read(Context& context,
                  const std::string& job,
                  CatalogEntry& entry) {
@@ -59,7 +61,7 @@
   return std::holds_alternative<StoreAbsent>(answer);
 }
 
-// Runs and ends on own workers learn from it whose they are.
+// Updates the owner to which runs and ends on own workers are reported.
 void TellKnown(Context& context,
                const std::string& job,
                const CatalogEntry& entry) {
@@ -79,8 +81,8 @@
   }
 }
 
-// Each job of which a task ran here leaves an entry. Small instances have 160
-// MB, and would run out of it within days.
+// Each job of which a task ran here adds an entry. Without removal, small
+// instances with 160 MB of memory would exhaust it within days.
 void ForgetKnown(Context& context) {
   auto& known = context.state.known;
   const auto keep = [&](const std::string& task) {
--- a/Source/engine/records/catalog.h
+++ b/Source/engine/records/catalog.h
@@ -1,4 +1,5 @@
-// What the store says of jobs that this instance does not own.
+// Cache of the store's records and specs of jobs that this instance does not
+// own.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_CATALOG_H_
 #define BURDOCKROCK_ENGINE_RECORDS_CATALOG_H_
 
@@ -8,24 +9,26 @@
 
 namespace burdockrock::engine {
 
-// Reads the job's record (again), unless it was read just now.
+// Requests a read of the job's record, which starts at once unless a read is in
+// flight or began a moment ago.
 void WantRecord(Context& context, const std::string& job);
 
-// Notes whose a job is. Questions of an owner that is new here are answered
-// only by what is proven after it first asked.
+// Records the owner of a job. Queries of an owner that is new here are answered
+// only with what is established after its first query.
 void NoteOwner(KnownJob& known,
                const std::string& owner,
                std::uint64_t generation);
 
-// Reads the job's spec, unless it is known.
+// Requests a read of the job's spec, unless it is cached.
 void WantSpec(Context& context, const std::string& job);
 
-// Starts the reads that are wanted.
+// Starts the requested reads, up to the limit of reads in flight.
 void DriveCatalog(Context& context);
 
-// Forgets what nobody has asked for for a while.
+// Removes entries that were not used for a while.
 void ForgetUnused(Context& context);
 
+// Answers to the reads.
 void OnJobRead(Context& context,
                const std::string& job,
                const StoreAnswer& answer);
--- a/Source/engine/records/documents.h
+++ b/Source/engine/records/documents.h
@@ -1,5 +1,5 @@
-// The documents that operators and workers keep in burdockrock's own store: the
-// configuration of queues and services, and an entry for each worker.
+// The documents that operators and workers write to burdockrock's own store:
+// the configuration of queues and services, and an entry for each worker.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_DOCUMENTS_H_
 #define BURDOCKROCK_ENGINE_RECORDS_DOCUMENTS_H_
 
@@ -11,14 +11,14 @@
 
 namespace burdockrock::engine {
 
-// How the engine reads them.
+// The keys and decoders with which the engine reads them.
 StoreDocuments OwnDocuments();
 
 std::string EncodeWorker(const WorkerInfo& worker);
 std::string EncodeConfiguration(const Configuration& configuration);
 
-// A configuration that can be put in force, or its first fault: two queues of
-// one name, a queue of an unknown service, no attempts.
+// A valid configuration, or its first fault: a duplicate service or queue name,
+// a queue of an unknown service, max_attempts of 0, or stretch below 1.
 Decoded<Configuration> ReadConfiguration(std::string_view text);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/records/job_codec.cc
+++ b/Source/engine/records/job_codec.cc
@@ -19,7 +19,7 @@
 constexpr std::string_view kJob = "/v1/jobs/";
 constexpr std::string_view kQueue = "/v1/queues/";
 
-// What a caller hands in: the job with its id and queue.
+// The body of a submission: the job with its id and queue.
 struct Submission {
   std::string id{};
   std::string queue{};
--- a/Source/engine/records/job_codec.h
+++ b/Source/engine/records/job_codec.h
@@ -1,4 +1,4 @@
-// Jobs of steps at the callers' own interface, as HTTP with JSON bodies:
+// Codec of the callers' interface for jobs of steps, HTTP with JSON bodies:
 // POST /v1/jobs, GET and DELETE /v1/jobs/ID, GET /v1/queues/NAME.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_JOB_CODEC_H_
 #define BURDOCKROCK_ENGINE_RECORDS_JOB_CODEC_H_
@@ -12,14 +12,15 @@
 
 namespace burdockrock::engine {
 
-// Whether the request is one of them: flat jobs and their ids, which contain a
-// dot, share the path.
+// Whether the request is one of these. Flat jobs share the paths; their ids
+// contain a dot.
 bool IsJobRequest(const HttpRequest& request);
 
-// The response is the refusal of a request that can't be read.
+// The decoded request, or the response that refuses an invalid one.
 std::variant<CallerRequest, HttpResponse> DecodeJobRequest(
     const HttpRequest& request);
 
+// The response to a decoded request.
 HttpResponse EncodeJobAnswer(const CallerRequest& request,
                              const CallerAnswer& answer);
 
--- a/Source/engine/records/record.h
+++ b/Source/engine/records/record.h
@@ -1,4 +1,4 @@
-// What the store keeps of a job, and under which keys.
+// The records in the store and their keys.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_RECORD_H_
 #define BURDOCKROCK_ENGINE_RECORDS_RECORD_H_
 
@@ -14,10 +14,12 @@
 
 namespace burdockrock::engine {
 
-// Keys: `member/INCARNATION` an entry instance that lives (leased);
-// `node/NODE` the last incarnation of a machine, kept when it is gone;
-// `spec/JOB` a JobSpec, never changed; `job/JOB` a JobRecord;
-// `owned/INCARNATION/JOB` an index of the jobs that have not ended, by owner.
+// Keys:
+// `member/INCARNATION`: a MemberRecord, under a lease;
+// `node/NODE`: the last incarnation of a machine, kept after its lease expired;
+// `spec/JOB`: a JobSpec, never changed;
+// `job/JOB`: a JobRecord;
+// `owned/INCARNATION/JOB`: index by owner of the jobs that have not ended.
 inline constexpr std::string_view kMemberPrefix = "member/";
 inline constexpr std::string_view kNodePrefix = "node/";
 inline constexpr std::string_view kSpecPrefix = "spec/";
@@ -30,20 +32,20 @@
 std::string JobKey(std::string_view job);
 std::string OwnedKey(std::string_view incarnation, std::string_view job);
 
-// A live entry instance, as it registers itself.
+// The registration of an entry instance.
 struct MemberRecord {
   std::string incarnation{};
-  std::string node{};  // the machine; a later incarnation has the same
+  std::string node{};  // the machine; the same for later incarnations
   std::string domain{};
-  std::string address{};     // where it listens for peers
+  std::string address{};     // its listener for peers
   std::uint32_t weight = 1;  // its share of workers and jobs
 
   auto operator<=>(const MemberRecord&) const = default;
 };
 
-// Runs of one task that have ended and are counted in its marks. Workers list
-// an end until it is acknowledged, so that a new owner of the job hears of it
-// again.
+// Runs of one task that have ended and are counted in its mark. Workers list an
+// end until it is acknowledged, so a new owner of the job may receive it again
+// and must not count it twice.
 struct EndedRuns {
   std::uint32_t step = 0;
   std::uint32_t index = 0;
@@ -52,8 +54,9 @@
   auto operator<=>(const EndedRuns&) const = default;
 };
 
-// The tasks of one occurrence: a text a step, a character a task: 'D' done,
-// else the number of runs that ended failed, '0' to '9' and then 'a' to 'z'.
+// The tasks of one occurrence: one string per step with one mark per task, 'D'
+// for done, else the number of failed runs as '0' to '9' and then 'a' to 'z'.
+// 'z' (35) also stands for more.
 struct OccurrenceRecord {
   std::uint32_t number = 0;
   std::vector<std::string> steps{};
@@ -63,14 +66,15 @@
 };
 
 inline constexpr char kDoneMark = 'D';
+// Conversion between a number of failed runs and its mark.
 char FailureMark(std::uint32_t failures);
 std::uint32_t FailuresOf(char mark);
 
-// Who owns a job and how far it got.
+// The owner of a job and its progress.
 struct JobRecord {
   std::string owner{};           // an incarnation
-  std::uint64_t generation = 0;  // rises with each change of the owner
-  std::uint64_t write = 0;       // tells the owner's own writes apart
+  std::uint64_t generation = 0;  // rises with each change of owner
+  std::uint64_t write = 0;       // distinguishes writes of the same owner
   JobState state = JobState::kQueued;
   std::string queue{};
   std::int64_t ended_ms = 0;     // wall time since 1970; 0: not ended
@@ -80,6 +84,7 @@
   auto operator<=>(const JobRecord&) const = default;
 };
 
+// The stored values are JSON.
 std::string EncodeSpec(const JobSpec& spec);
 std::string EncodeMember(const MemberRecord& record);
 std::string EncodeJob(const JobRecord& record);
--- a/Source/engine/records/record_fields.h
+++ b/Source/engine/records/record_fields.h
@@ -1,4 +1,4 @@
-// The members of the engine's records in JSON.
+// JSON field names of the engine's records.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_RECORD_FIELDS_H_
 #define BURDOCKROCK_ENGINE_RECORDS_RECORD_FIELDS_H_
 
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A record stays four minutes after its job's end; half a minute more does no
-// harm, and a sweep's stale reads cost a tenth of others.
+// A record is kept for four minutes after its job's end, so half a minute more
+// is harmless. A sweep's stale reads cost a tenth of other reads.
 constexpr Duration kSweepInterval = milliseconds(30'000);
-// The wall clocks of instances differ, and may jump by seconds.
+// Wall clocks differ between instances and may jump by seconds.
 constexpr Duration kClockMargin = milliseconds(60'000);
-// Of one page; the next sweep takes more.
+// Per page; the next sweep removes more.
 constexpr std::size_t kMaxRemovals = 100;
 
 constexpr const char* kDuty = "record sweep";
@@ -84,7 +84,7 @@
   sweep.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    return;  // the next sweep comes to it again
+    return;  // the next sweep reads it again
   }
   RemoveLeftOvers(context, page->items);
   if (page->more && !page->items.empty()) {
--- a/Source/engine/records/record_sweep.h
+++ b/Source/engine/records/record_sweep.h
@@ -1,5 +1,6 @@
-// Removes the records of jobs that ended long ago and whose owner is gone: each
-// owner removes its own, so that only these would stay for ever.
+// Removes the records of jobs that ended long ago and whose owner is no longer
+// a member. Each owner removes its own records; without the sweep these would
+// remain indefinitely.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_RECORD_SWEEP_H_
 #define BURDOCKROCK_ENGINE_RECORDS_RECORD_SWEEP_H_
 
@@ -7,9 +8,10 @@
 
 namespace burdockrock::engine {
 
-// At one member at a time.
+// Starts a sweep if one is due and this member is the one chosen for it.
 void DriveSweep(Context& context);
 
+// Removes what a page lists and reads the next one.
 void OnSweepPage(Context& context, const StoreAnswer& answer);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/records/record_writer.cc
+++ b/Source/engine/records/record_writer.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-// Every transaction is bound to the own registration: an instance that the
-// others take for gone must not write any more, or a job that it accepts
-// meanwhile would be missed by those that take its work over.
+// Every transaction is conditional on this instance's registration. An instance
+// that the others have declared lost must not write any more: the members that
+// take over its work would miss a job that it accepts after that.
 StoreCondition OwnCondition(const Context& context) {
   return {.key = MemberKey(context.self()),
           .revision = context.state.members.fence};
@@ -89,7 +89,7 @@
   return it == items.end() ? StoreItem{.key = key} : it->second;
 }
 
-// The first condition that does not hold.
+// The stored item of the first condition that does not hold.
 std::optional<StoreItem> Failed(const Change& change, const Items& items) {
   for (const StoreCondition& it : change.conditions) {
     StoreItem item = ItemAt(items, it.key);
@@ -100,7 +100,7 @@
   return std::nullopt;
 }
 
-// What an earlier try of the same change would have left there.
+// Whether the item is what an earlier attempt of the same change wrote.
 bool IsOwnWrite(const Change& change, const StoreItem& item) {
   return std::any_of(change.puts.begin(), change.puts.end(),
                      [&](const StorePut& put) {
@@ -140,9 +140,10 @@
   Requeue(context, std::move(again));
 }
 
-// Each instance takes an equal part of the budget. A flood of changes waits in
-// the queue and goes out in larger batches; without this bound the store
-// refuses calls, also those of others, and every refused call is repeated.
+// Takes one transaction from the token bucket of the write rate, of which each
+// instance has an equal share. A burst of changes waits in the queue and is
+// sent in larger batches. Without this limit the store refuses calls, also
+// those of other clients, and every refused call is repeated.
 bool TakeAllowance(Context& context) {
   WriterState& writer = context.state.writer;
   const auto members = static_cast<double>(
@@ -168,8 +169,8 @@
 
 void DriveWriter(Context& context) {
   WriterState& writer = context.state.writer;
-  // While the fence is being raised a transaction would be bound to the old
-  // one.
+  // While the fence is being advanced a transaction would be conditional on the
+  // old fence.
   const bool raising = context.state.members.raising;
   while (!writer.queue.empty() && IsRegistered(context.state) && !raising &&
          context.now >= writer.retry_at &&
--- a/Source/engine/records/store_calls.cc
+++ b/Source/engine/records/store_calls.cc
@@ -42,7 +42,7 @@
   if (node.empty()) {
     return std::nullopt;
   }
-  // A watch may be cut off without any fault of the store.
+  // A watch may end without an answer though the store has no fault.
   const bool watching = std::holds_alternative<ForWatch>(node.mapped());
   if (const auto* refused = std::get_if<StoreRefused>(&event.answer)) {
     NoteTrouble(context, refused->detail);
--- a/Source/engine/records/store_calls.h
+++ b/Source/engine/records/store_calls.h
@@ -1,4 +1,4 @@
-// Calls to the store, and whether it is well.
+// Calls to the store, and the record of whether they succeed.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_STORE_CALLS_H_
 #define BURDOCKROCK_ENGINE_RECORDS_STORE_CALLS_H_
 
@@ -6,17 +6,18 @@
 
 namespace burdockrock::engine {
 
+// Sends a request. Its answer is dispatched by `purpose`.
 void AskStore(Context& context,
               StoreRequest request,
               StorePurpose purpose,
               Duration timeout = kStoreTimeout);
 
-// Takes the call's purpose out of the state and notes how the store is.
-// Nothing when the call is not known.
+// Removes the call from the state, records whether the store answered, and
+// returns the call's purpose; nullopt for an unknown call.
 std::optional<StorePurpose> TakeStoreCall(Context& context,
                                           const StoreAnswered& event);
 
-// The store refused or left unanswered a call not long ago.
+// Whether the store recently refused a call or left one unanswered.
 bool StoreIsUnsteady(const Context& context);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -23,8 +23,8 @@
   return state.options.documents.operator_prefix;
 }
 
-// Between two reads of the members beside their watch, which answers late when
-// nothing has changed.
+// Shortest interval between two reads of the members beside their watch, which
+// answers late when nothing has changed.
 constexpr Duration kMembersReview = milliseconds(200);
 
 Duration PauseOf(WatchedList list) {
@@ -40,7 +40,7 @@
     return;
   }
   auto& configuration = std::get<Configuration>(decoded);
-  // A page that was read before a change can come after the change's event.
+  // A page that was read before a change can arrive after the change's event.
   if (configuration.version <= context.state.configuration.version) {
     return;
   }
@@ -67,14 +67,14 @@
   }
 }
 
-// Each worker's entry changes with every heartbeat. Comparing it with the last
-// one is much cheaper than parsing it.
+// Whether only the heartbeat of the worker's entry has changed, as most changes
+// are. Comparing it with the previous entry is much cheaper than parsing it.
 bool IsHeartbeat(Context& context, const StoreItem& item) {
   const StoreDocuments& documents = context.state.options.documents;
   std::string& last = context.state.worker_entries[item.key];
   const ListedWorker* worker = FindWorker(
       context.state, item.key.substr(documents.worker_prefix.size()));
-  // One that was taken for gone, or has left the list, is back.
+  // A worker that was declared lost or has left the list must be listed again.
   const bool known = worker != nullptr && worker->listed;
   if (known && documents.is_heartbeat &&
       documents.is_heartbeat(last, item.value)) {
@@ -103,11 +103,11 @@
       context.state.worker_entries.erase(key);
       return OnWorkerRemoved(context, key);
     case WatchedList::kOperators:
-      return;  // the last configuration stays in force
+      return;  // the last configuration remains in force
   }
 }
 
-// Keys that are known and were in no part of what was read.
+// Removes known entries whose keys are in none of the pages that were read.
 void RemoveUnseen(Context& context,
                   WatchedList list,
                   const std::set<std::string>& seen) {
@@ -153,8 +153,8 @@
 void OnChanges(Context& context, WatchedList list, const StoreDone& changes) {
   Watch& watch = context.state.watches.at(static_cast<std::size_t>(list));
   watch.revision = std::max(watch.revision, changes.revision);
-  // Of one key only the last change counts; an item's and a removal's order is
-  // told by the revisions.
+  // Only the last change of a key counts; revisions order an item and a
+  // removal.
   std::map<std::string, std::uint64_t> removed;
   for (const StoreRemoval& it : changes.removed) {
     removed[it.key] = it.revision;
@@ -190,8 +190,9 @@
            ForWatch{.list = list}, kWatchWait + kWatchSlack);
 }
 
-// The history is gone, or the read is stale: what changed meanwhile can only be
-// learned by reading all again.
+// Restarts the read of the list, because the store no longer has the history
+// since the last revision or the read is stale: the changes since then can only
+// be learned from a complete read.
 void ReadAgain(Watch& watch) {
   watch.reading = true;
   watch.after.clear();
@@ -253,9 +254,9 @@
   review.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    return;  // whoever wants it asks again
+    return;  // what needs it requests it again
   }
-  // More members than one page holds are known by their watch alone.
+  // If one page does not hold all members, only the watch can be relied on.
   for (const StoreItem& it : page->items) {
     OnMemberItem(context, it);
   }
--- a/Source/engine/records/watches.h
+++ b/Source/engine/records/watches.h
@@ -1,4 +1,5 @@
-// Follows the lists that live in the store: members, workers, configuration.
+// Follows the lists in the store: members, workers and the operators'
+// configuration and waves. Reads a list in pages and then watches its changes.
 #ifndef BURDOCKROCK_ENGINE_RECORDS_WATCHES_H_
 #define BURDOCKROCK_ENGINE_RECORDS_WATCHES_H_
 
@@ -6,18 +7,19 @@
 
 namespace burdockrock::engine {
 
-// Starts what is due: the next page, the next watch, a retry.
+// Starts what is due: the next page, the next watch or a retry.
 void DriveWatches(Context& context);
 
 void OnWatchAnswer(Context& context,
                    WatchedList list,
                    const StoreAnswer& answer);
 
-// All lists were read whole at least once.
-// Reads the members now, so that all that registered until now are known.
+// Reads the members beside their watch, so that all that have registered until
+// now are known.
 void WantMembers(Context& context);
 void OnMembersReviewed(Context& context, const StoreAnswer& answer);
 
+// Whether all lists were read completely at least once.
 bool ListsAreRead(const State& state);
 
 }  // namespace burdockrock::engine
