--- a/Source/engine/records/documents.cc
+++ b/Source/engine/records/documents.cc
@@ -34,7 +34,7 @@
     const std::string& name = configuration.services[it].name;
     if (!services.insert(name).second) {
       return DecodeError{.path = fmt::format("$.services[{}].name", it),
-                         .problem = name + " stands twice",
+                         .problem = name + " is listed twice",
                          .allowed = "each name once"};
     }
   }
@@ -44,12 +44,12 @@
     const std::string path = fmt::format("$.queues[{}]", it);
     if (!queues.insert(queue.name).second) {
       return DecodeError{.path = path + ".name",
-                         .problem = queue.name + " stands twice",
+                         .problem = queue.name + " is listed twice",
                          .allowed = "each name once"};
     }
     if (!services.contains(queue.service)) {
       return DecodeError{.path = path + ".service",
-                         .problem = queue.service + " is no service",
+                         .problem = queue.service + " is not a service",
                          .allowed = "a name of $.services"};
     }
     if (queue.max_attempts == 0) {
