--- a/Tests/engine/attempts_test.cc
+++ b/Tests/engine/attempts_test.cc
@@ -1,4 +1,4 @@
-// How often a task that fails is started, whoever owns its job.
+// Tests of how often a failing task is started when its job changes owner.
 #include <doctest/doctest.h>
 
 #include "engine/fleet.h"
@@ -25,12 +25,12 @@
   return {};
 }
 
-// A job was adopted while one worker could not be heard of, which listed a
-// failed run of a task. Another run of the task failed meanwhile, and the task
-// was started again at once: a line run_ended of the first run came 2.2 s after
-// the last start that the queue allowed, and the task had been started five
-// times of four.
-TEST_CASE("A failing task of an adopted job keeps to its attempts") {
+// Guards against too many attempts after an adoption. A worker that listed a
+// failed run of a task was unreachable when the job was adopted. Meanwhile
+// another run of the task failed and the task was started again at once. The
+// first failure was received (run_ended) 2.2 s after the last start that the
+// queue allowed, and the task had five runs where four were allowed.
+TEST_CASE("A failing task of an adopted job does not exceed its attempts") {
   Fleet fleet({.instances = 6, .workers = 12});
   fleet.Settle();
   for (const std::string& it : fleet.worker_names()) {
--- a/Tests/engine/codec_test.cc
+++ b/Tests/engine/codec_test.cc
@@ -1,4 +1,5 @@
-// Jobs of steps on burdockrock's own wire: calls, callers and documents.
+// Tests of the codecs of jobs of steps in burdockrock's own protocols: calls to
+// back ends, callers' requests and documents.
 #include <doctest/doctest.h>
 
 #include "engine/call_codec.h"
@@ -20,7 +21,7 @@
   return response.body;
 }
 
-TEST_CASE("A call to the store looks as the protocol says") {
+TEST_CASE("A call to the store is encoded as the protocol defines") {
   CHECK(EncodeStoreCall(StoreRead{.key = "job/7"}).body ==
         R"({"id":1,"jsonrpc":"2.0","method":"read","params":{"key":"job/7"}})");
   CHECK(EncodeStoreCall(StoreRead{.key = "job/7"}).path == "/v1/steps");
@@ -28,7 +29,7 @@
         R"({"id":1,"jsonrpc":"2.0","result":{"outcome":"absent","value":{}}})");
 }
 
-TEST_CASE("Each call to the store is read back as it was written") {
+TEST_CASE("Each call to the store is decoded as it was encoded") {
   const StoreRequest requests[] = {
       StoreRead{.key = "a"},
       StoreRange{.prefix = "a/", .after = "a/1", .may_be_stale = true},
@@ -62,7 +63,7 @@
   }
 }
 
-TEST_CASE("Each call to a worker is read back as it was written") {
+TEST_CASE("Each call to a worker is decoded as it was encoded") {
   const WorkerRequest requests[] = {
       HoldWorker{.fence = 3,
                  .acknowledged = 2,
@@ -106,7 +107,7 @@
   CHECK(DecodeAdviceResult(Ok(EncodeAdviceResult(advice))) == advice);
 }
 
-TEST_CASE("Each call about machines is read back as it was written") {
+TEST_CASE("Each call about machines is decoded as it was encoded") {
   const MachineRequest requests[] = {
       ListMachines{.page = "p2"},
       BeginUpkeep{.machine = "m1", .wave = 3, .fence = 9},
@@ -133,8 +134,9 @@
   }
 }
 
-// Symptom: a garbled answer is taken for one, and a write for not done.
-TEST_CASE("An answer that is none counts as unanswered, with its cause") {
+// Guards against a malformed answer that is taken for a valid one, and against
+// a write whose outcome is unknown that is taken for not done.
+TEST_CASE("A malformed answer counts as unanswered, with its cause") {
   for (const char* it : {"", "{", "{}", R"({"result":{}})",
                          R"({"result":{"outcome":"odd","value":{}}})",
                          R"({"result":{"outcome":"done","value":7}})"}) {
@@ -155,7 +157,7 @@
       DecodeStoreResult(HttpFailure{.message = "cut"})));
 }
 
-TEST_CASE("A call that can't be read is refused with its place") {
+TEST_CASE("An invalid call is refused with the path of its fault") {
   const auto problem = [](std::string_view body) {
     return ToString(std::get<DecodeError>(DecodeStoreCall(body)));
   };
@@ -172,7 +174,8 @@
   return {.method = "POST", .path = "/v1/jobs", .body = std::move(body)};
 }
 
-TEST_CASE("A submission of steps is told from a flat job and read whole") {
+TEST_CASE(
+    "A submission of steps is distinguished from a flat job and decoded") {
   const HttpRequest request =
       Submit(R"({"id":"p-1","queue":"q","payload":"x","steps":[)"
              R"({"count":2,"each":{"processors_milli":500}},)"
@@ -198,7 +201,7 @@
   CHECK(it.spec.steps[1].gang);
 }
 
-TEST_CASE("A submission that can't be read names the field") {
+TEST_CASE("The refusal of an invalid submission names the field") {
   const auto refusal = [](std::string body) {
     const auto decoded = DecodeJobRequest(Submit(std::move(body)));
     REQUIRE(std::holds_alternative<HttpResponse>(decoded));
@@ -215,7 +218,7 @@
   CHECK(std::get<HttpResponse>(method).status == 405);
 }
 
-TEST_CASE("Callers hear whether a job may have run") {
+TEST_CASE("The response to a caller shows whether a job may have run") {
   const CallerRequest asked{.queue = "q", .job = "p-1"};
   CHECK(EncodeJobAnswer(asked, JobAccepted{}).status == 202);
   CHECK(Body(EncodeJobAnswer(asked, JobShown{.state = JobState::kRunning})) ==
@@ -235,7 +238,8 @@
   CHECK(EncodeJobAnswer(asked, NoSuchQueue{}).status == 404);
 }
 
-TEST_CASE("A configuration of queues is read, or its fault is named") {
+TEST_CASE(
+    "A valid configuration is decoded, and an invalid one names its fault") {
   const auto fault = [](std::string_view text) {
     const auto read = ReadConfiguration(text);
     REQUIRE(std::holds_alternative<DecodeError>(read));
--- a/Tests/engine/fake_store.cc
+++ b/Tests/engine/fake_store.cc
@@ -88,7 +88,7 @@
   }
   StoreDone done{.revision = revision_};
   std::map<std::string, Change> last;
-  // Revisions rise.
+  // The history is sorted by revision.
   const auto first = std::upper_bound(
       history_.begin(), history_.end(), it.after,
       [](std::uint64_t after, const Change& c) { return after < c.revision; });
--- a/Tests/engine/fake_store.h
+++ b/Tests/engine/fake_store.h
@@ -1,4 +1,4 @@
-// A key-value store with leases and watches, in virtual time.
+// In-memory key-value store with leases and watches for tests in virtual time.
 #ifndef BURDOCKROCK_TESTS_ENGINE_FAKE_STORE_H_
 #define BURDOCKROCK_TESTS_ENGINE_FAKE_STORE_H_
 
@@ -13,22 +13,24 @@
 
 namespace burdockrock::engine {
 
+// Store with the semantics of the engine's store calls. Revisions increase with
+// each write.
 class FakeStore {
  public:
-  // Nothing when a watch has to wait.
+  // The answer; nullopt if a watch has to wait for a change.
   std::optional<StoreAnswer> Handle(Time now, const StoreRequest& request);
 
-  // Ends the leases whose time is over. Called before each Handle.
+  // Removes expired leases and their keys. Handle calls it first.
   void Expire(Time now);
 
-  // As an operator or a worker writes; no condition.
+  // Unconditional writes, as an operator or a worker makes them.
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
 
-  // Takes away all keys that begin with `prefix`, with their leases.
+  // Removes all keys that begin with `prefix`, and their leases.
   void Revoke(const std::string& prefix);
 
-  // Watches of older revisions find their history gone.
+  // Discards the history: watches from older revisions get StoreAbsent.
   void ForgetHistory() { oldest_ = revision_; }
 
   std::vector<std::string> Keys(const std::string& prefix) const;
--- a/Tests/engine/path_test.cc
+++ b/Tests/engine/path_test.cc
@@ -1,4 +1,4 @@
-// Jobs of steps from submission to completion, without faults.
+// Tests of jobs of steps from submission to completion, most without faults.
 #include <doctest/doctest.h>
 
 #include "engine/fleet.h"
@@ -46,7 +46,7 @@
   CheckPromises(fleet);
 }
 
-TEST_CASE("Tasks that don't fit wait, and no worker gets more than it has") {
+TEST_CASE("Tasks that don't fit wait, and no worker is overcommitted") {
   Fleet fleet({.workers = 3, .processors_milli = 2000});
   fleet.Settle();
   fleet.Submit("n0", "j1", OneStep(20));
@@ -57,7 +57,7 @@
   CheckPromises(fleet);
 }
 
-TEST_CASE("A submission repeated anywhere finds the first job") {
+TEST_CASE("A submission repeated at any instance is accepted as the same job") {
   Fleet fleet;
   fleet.Settle();
   const std::uint64_t first = fleet.Submit("n0", "j1", OneStep(2));
@@ -71,7 +71,7 @@
   CHECK(CountRuns(fleet, "j1") == 2);
 }
 
-TEST_CASE("A failed task is tried again until its attempts are used up") {
+TEST_CASE("A failed task is retried until its attempts are used up") {
   Fleet fleet;
   fleet.Settle();
   for (const std::string& it : fleet.worker_names()) {
@@ -85,7 +85,7 @@
   CHECK(CountRuns(fleet, "j1") == 3);
 }
 
-TEST_CASE("A cancelled job's runs are stopped and nothing of it starts") {
+TEST_CASE("A cancelled job's runs are stopped and none of its tasks starts") {
   Fleet fleet;
   fleet.Settle();
   for (const std::string& it : fleet.worker_names()) {
@@ -126,10 +126,11 @@
   CheckPromises(fleet);
 }
 
-// Two members of a gang were booked at a worker that was cut off with its owner
-// just then. The others' bookings lapsed after 2 s, the gang waited for word of
-// the two for 7.6 s with room for ten of its six tasks, though nothing of a run
-// begins before its start is ordered.
+// Guards against a gang that waits for the leases of a worker that was cut off
+// together with its owner while members of the gang were being booked there.
+// The other bookings expired after 2 s, but the gang of six waited 7.6 s for
+// the members at that worker although there was room for ten, and although no
+// run begins before its start is commanded.
 TEST_CASE("A gang does not wait for a booking that gets no answer") {
   Fleet fleet;
   fleet.Settle();
@@ -208,7 +209,7 @@
   }
 }
 
-TEST_CASE("At most so many tasks of a step run on one worker") {
+TEST_CASE("No worker gets more tasks of a step than its spread") {
   Fleet fleet;
   fleet.Settle();
   JobSpec spec = OneStep(12);
@@ -224,8 +225,8 @@
   }
 }
 
-// Symptom: urgent work waits for as long as the long work that is there runs.
-TEST_CASE("Urgent work is started in the place of work that checkpoints") {
+// Guards against urgent work that waits until long work on all workers ends.
+TEST_CASE("Urgent work preempts work that checkpoints") {
   Fleet fleet({.workers = 3, .processors_milli = 4000});
   fleet.Settle();
   fleet.AddQueue("batch", 2);
@@ -251,11 +252,11 @@
   CheckPromises(fleet);
 }
 
-// Symptom: users of a service wait for seconds while batch work runs beside it.
-// Sequence: the response times of a lasting task rise above its target, and
-// fall again. Cause would be: filling tasks that go on at their full pace.
+// Guards against a service whose users wait for seconds while batch work runs
+// on the same worker: the response times of a lasting task rise above its
+// target and fall again while filling tasks keep their full pace.
 TEST_CASE(
-    "Filling tasks slow down for a task that serves, and speed up again") {
+    "Filling tasks slow down for a lasting task above target, then recover") {
   Fleet fleet({.instances = 1, .workers = 1});
   fleet.Settle();
   FakeWorker& worker = fleet.worker("w0");
@@ -285,7 +286,7 @@
   CHECK(worker.paces["f1.0.0.0"] == 100);
 }
 
-TEST_CASE("Work that does not checkpoint is not stopped for urgent work") {
+TEST_CASE("Work that does not checkpoint is not preempted by urgent work") {
   Fleet fleet({.workers = 3, .processors_milli = 4000});
   fleet.Settle();
   fleet.AddQueue("batch", 2);
@@ -307,7 +308,7 @@
   CheckPromises(fleet);
 }
 
-TEST_CASE("The number of waiting jobs is known everywhere") {
+TEST_CASE("Every instance knows the number of waiting jobs") {
   Fleet fleet({.workers = 1, .processors_milli = 1000});
   fleet.Settle();
   for (int it = 0; it < 4; ++it) {
@@ -324,10 +325,10 @@
   CHECK(shown->jobs <= 3);
 }
 
-// Instances kept whose each job was of which a task had run on a worker of
-// theirs: nothing ever took such an entry away. Small ones have 160 MB for as
-// long as they run.
-TEST_CASE("Whose a job was is forgotten long after its last run") {
+// Guards against unbounded memory use: instances kept the owner of every job of
+// which a task had run on one of their workers and never removed the entry.
+// Small instances have 160 MB of memory and run indefinitely.
+TEST_CASE("The owner of a job is forgotten long after its last run") {
   Fleet fleet({.workers = 3, .timers = true});
   fleet.Settle();
   JobSpec lasting = OneStep(1);
@@ -354,7 +355,7 @@
   CHECK(count("lasts") > 0);
 }
 
-TEST_CASE("Wrong submissions are refused with the field that is wrong") {
+TEST_CASE("An invalid submission is refused with the path of the wrong field") {
   Fleet fleet;
   fleet.Settle();
   JobSpec spec = Chain(2, 1);
--- a/Tests/engine/watches_test.cc
+++ b/Tests/engine/watches_test.cc
@@ -1,4 +1,4 @@
-// How the lists in the store are followed.
+// Tests of the watches on the lists in the store.
 #include <doctest/doctest.h>
 
 #include "engine/records/watches.h"
@@ -10,8 +10,8 @@
 
 using std::chrono::seconds;
 
-// The entry of a worker is "N" or "N draining", with the number of its
-// heartbeat.
+// Feeds the watch of workers. A worker's entry is "N" or "N draining", where N
+// is the number of its heartbeat.
 struct Follower {
   Follower() {
     EngineOptions options;
@@ -50,9 +50,11 @@
 
 }  // namespace
 
-// On a site with 350 workers each of 30 instances read 233 entries a second of
-// which only the heartbeat's number had changed.
-TEST_CASE("A worker's heartbeat is not read, what it changes is") {
+// Guards against needless decoding: on a site with 350 workers, each of 30
+// instances decoded 233 entries per second in which only the heartbeat's number
+// had changed.
+TEST_CASE(
+    "A worker's entry is decoded only if more than its heartbeat changed") {
   Follower follower;
   follower.Tell("1");
   CHECK(follower.decoded == 1);
@@ -66,9 +68,10 @@
   CHECK(follower.decoded == 2);
 }
 
-// A worker that lost its path to the store for a while comes back with an entry
-// like the one before.
-TEST_CASE("A worker that comes back with the same entry is listed again") {
+// A worker that could not reach the store for a while is removed from the list
+// and then writes the same entry as before. It must not be taken for a
+// heartbeat and ignored.
+TEST_CASE("A worker that returns with the same entry is listed again") {
   Follower follower;
   follower.Tell("1");
   follower.Answer(
@@ -76,7 +79,7 @@
   CHECK_FALSE(follower.state.workers.at("w1").listed);
   follower.Tell("2");
   CHECK(follower.state.workers.at("w1").listed);
-  follower.state.workers.erase("w1");  // taken for gone
+  follower.state.workers.erase("w1");  // declared lost
   follower.Tell("3");
   CHECK(follower.state.workers.contains("w1"));
   CHECK(follower.decoded == 3);
