--- a/Source/engine/jobs/job.h
+++ b/Source/engine/jobs/job.h
@@ -19,6 +19,7 @@
 
 namespace burdockrock::engine {
 
+// State of a task as far as its job's owner knows it.
 enum class TaskPhase {
   kUnknown,  // the job was adopted; a run may exist at some worker
   kWaiting,  // for a worker
@@ -38,6 +39,7 @@
   Time heard{0};  // last update on the run, from its worker's owner
 };
 
+// One task of a step and its current run.
 struct Task {
   TaskPhase phase = TaskPhase::kWaiting;
   std::uint64_t run = 0;  // the last run that was offered; 0: none
@@ -100,7 +102,7 @@
 struct UnstoredEnd {
   std::string from{};  // the member that reported it
   StoredEnd end{};
-  std::uint64_t version = 0;
+  std::uint64_t version = 0;  // of the job's progress
 };
 
 // Waits for a reply about a job: a caller of this instance, or of another one
@@ -111,6 +113,7 @@
   Time until = kForever;  // gets a reply then at the latest, with what is known
 };
 
+// A job that this instance owns.
 struct Job {
   std::string id{};
   JobSpec spec{};
--- a/Source/engine/jobs/job_model.h
+++ b/Source/engine/jobs/job_model.h
@@ -108,9 +108,10 @@
 
 // "JOB.OCCURRENCE.STEP.INDEX", the name on the wire.
 std::string ToString(const TaskName& name);
+// nullopt if the text is not such a name.
 std::optional<TaskName> ParseTaskName(std::string_view text);
 
-// "JOB.OCCURRENCE.STEP"
+// "JOB.OCCURRENCE.STEP", the name of the task's step.
 std::string StepName(const TaskName& name);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/job_runs.h
+++ b/Source/engine/jobs/job_runs.h
@@ -9,6 +9,7 @@
 
 namespace burdockrock::engine {
 
+// Messages from the members that own the workers.
 void OnOfferAnswers(Context& context,
                     const std::string& from,
                     const OfferAnswers& answers);
--- a/Source/engine/jobs/open_work.h
+++ b/Source/engine/jobs/open_work.h
@@ -19,6 +19,7 @@
   auto operator<=>(const OpenKind&) const = default;
 };
 
+// The kinds of open work.
 struct OpenWork {
   OpenKind recoveries{};  // own jobs whose runs are not all known yet
   OpenKind claims{};      // own workers that have not answered the claim
@@ -30,6 +31,7 @@
   auto operator<=>(const OpenWork&) const = default;
 };
 
+// Counts at time `now`.
 OpenWork CountOpenWork(const State& state, Time now);
 
 // A run that was offered and is not known to have ended.
--- a/Source/engine/jobs/task_copies.h
+++ b/Source/engine/jobs/task_copies.h
@@ -38,6 +38,7 @@
                Task& task,
                std::uint64_t done_run);
 
+// Stops the copy, if any.
 void StopCopy(Context& context,
               const Job& job,
               const TaskName& name,
--- a/Source/engine/jobs/worker_set.h
+++ b/Source/engine/jobs/worker_set.h
@@ -18,6 +18,7 @@
  public:
   // Assigns a number if the worker has none.
   std::uint32_t NumberOf(const std::string& worker);
+  // The number; nullopt if none is assigned.
   std::optional<std::uint32_t> Find(const std::string& worker) const;
   const std::string& NameOf(std::uint32_t number) const;
 
@@ -35,6 +36,7 @@
   void EraseIf(const std::function<bool(std::uint32_t)>& goes);
   bool empty() const { return size_ == 0; }
   std::size_t size() const { return size_; }
+  // Ascending.
   std::vector<std::uint32_t> Numbers() const;
 
  private:
--- a/Source/engine/records/documents.h
+++ b/Source/engine/records/documents.h
@@ -14,6 +14,7 @@
 // The keys and decoders with which the engine reads them.
 StoreDocuments OwnDocuments();
 
+// The documents as JSON.
 std::string EncodeWorker(const WorkerInfo& worker);
 std::string EncodeConfiguration(const Configuration& configuration);
 
--- a/Source/engine/records/record.h
+++ b/Source/engine/records/record.h
@@ -26,6 +26,7 @@
 inline constexpr std::string_view kJobPrefix = "job/";
 inline constexpr std::string_view kOwnedPrefix = "owned/";
 
+// Key of one entry.
 std::string MemberKey(std::string_view incarnation);
 std::string NodeKey(std::string_view node);
 std::string SpecKey(std::string_view job);
@@ -89,6 +90,7 @@
 std::string EncodeMember(const MemberRecord& record);
 std::string EncodeJob(const JobRecord& record);
 
+// Decoded, or the first fault of the text.
 std::variant<JobSpec, DecodeError> DecodeSpec(std::string_view text);
 std::variant<MemberRecord, DecodeError> DecodeMember(std::string_view text);
 std::variant<JobRecord, DecodeError> DecodeJob(std::string_view text);
--- a/Source/engine/records/record_writer.h
+++ b/Source/engine/records/record_writer.h
@@ -7,6 +7,7 @@
 
 namespace burdockrock::engine {
 
+// Appends a change. It is repeated until the store has answered it.
 void QueueChange(Context& context, Change change);
 
 // Sends queued changes.
--- a/Source/engine/records/watches.h
+++ b/Source/engine/records/watches.h
@@ -10,6 +10,7 @@
 // Starts what is due: the next page, the next watch or a retry.
 void DriveWatches(Context& context);
 
+// Applies a page or the watched changes, and starts what follows.
 void OnWatchAnswer(Context& context,
                    WatchedList list,
                    const StoreAnswer& answer);
