--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -50,20 +50,20 @@
 
 bool NeedsAdvice(const Context& context, const ReadyStep& ready) {
   const StepRun& step = ready.run();
-  if (!ready.queue->advice || step.asking || CountWaiting(step) == 0) {
+  if (!ready.queue->advice || step.advice_pending || CountWaiting(step) == 0) {
     return false;
   }
   if (!ready.ready && HasValidTicket(context, step)) {
     return false;
   }
-  return HasPassed(context.now, step.asked_at,
+  return HasPassed(context.now, step.advice_checked_at,
                    kWiden + ready.queue->advice->decision) &&
          !HasEnough(context, ready);
 }
 
 AdviceReason ReasonOf(const Context& context, const ReadyStep& ready) {
   const StepRun& step = ready.run();
-  if (step.unanswered) {
+  if (step.advice_unanswered) {
     return AdviceReason::kRepeated;
   }
   if (step.advised_at == kForever) {
@@ -99,19 +99,20 @@
   const Duration expected = ExpectedTime(*ready.queue->advice, workers.size());
   // After a question without an answer only members that were heard since then
   // are asked: all of a domain are cut off at once.
-  const Time heard_since =
-      ready.run().unanswered ? ready.run().called_at : Time::min();
+  const Time heard_since = ready.run().advice_unanswered
+                               ? ready.run().advice_called_at
+                               : Time::min();
   const std::string member =
       ChooseCaller(context, ready.queue->priority, expected, heard_since);
   const Duration wait = WaitAt(context, member, ready.queue->priority);
   const Duration patience =
       wait + expected + (IsLongCall(expected) ? kLongReplySlack : kReplySlack);
   const bool may_decline =
-      member != context.self() && ready.run().declines < kMostDeclines;
+      member != context.self() && ready.run().advice_declines < kMostDeclines;
   const std::uint64_t call = ++advice.last_call;
-  ready.run().asked_at = context.now;
-  ready.run().called_at = context.now;
-  ready.run().asking = true;
+  ready.run().advice_checked_at = context.now;
+  ready.run().advice_called_at = context.now;
+  ready.run().advice_pending = true;
   const TaskName step{
       .job = ready.job->id, .occurrence = ready.occurrence, .step = ready.step};
   Send(context, member,
@@ -180,7 +181,7 @@
     return nullptr;
   }
   StepRun& step = StepAt(*job, question.step.occurrence, question.step.step);
-  step.asking = false;
+  step.advice_pending = false;
   return &step;
 }
 
@@ -206,8 +207,8 @@
       return false;
     }
     if (StepRun* step = EndQuestion(context, it.second)) {
-      step->unanswered = true;
-      step->asked_at = Time::min();  // another member is asked at once
+      step->advice_unanswered = true;
+      step->advice_checked_at = Time::min();  // another member is asked at once
     }
     ++context.state.totals.advice[it.second.reason].given_up;
     LeaveCaller(context, it.second);
@@ -231,7 +232,7 @@
     if (!workers.empty()) {
       AskFor(context, it, std::move(workers));
     } else {
-      it.run().asked_at = context.now;
+      it.run().advice_checked_at = context.now;
     }
   }
 }
@@ -253,13 +254,13 @@
       job == nullptr ? nullptr
                      : FindQueueByName(context.state.configuration, job->queue);
   if (reply.declined && step != nullptr) {
-    ++step->declines;
-    step->asked_at = Time::min();  // another member is asked at once
+    ++step->advice_declines;
+    step->advice_checked_at = Time::min();  // another member is asked at once
     return;
   }
   if (step != nullptr) {
-    step->declines = 0;
-    step->unanswered = reply.failed;
+    step->advice_declines = 0;
+    step->advice_unanswered = reply.failed;
   }
   CountAnswer(context, question, reply, step == nullptr);
   if (reply.failed || step == nullptr || queue == nullptr || !queue->advice) {
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -30,7 +30,7 @@
                   const ReadyStep& ready,
                   const PlacementNeed& need,
                   Candidate candidate) {
-  candidate.free += candidate.yielding;
+  candidate.free += candidate.preemptible;
   return MayPreempt(context, ready) && HasRoomNow(need, candidate);
 }
 
@@ -148,7 +148,7 @@
   }
   const StepRun& step = ready.run();
   const bool asked = step.advised_at != kForever;
-  if (asked && !IsWorthACall(call, context.now - step.called_at)) {
+  if (asked && !IsWorthACall(call, context.now - step.advice_called_at)) {
     chosen.clear();
   }
   return chosen;
--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -35,8 +35,8 @@
 
 void ReadScan(Context& context, const std::string& prefix, OrphanScan& scan) {
   scan.in_flight = true;
-  AskStore(context, StoreRange{.prefix = prefix, .after = scan.after},
-           ForOrphans{.prefix = prefix});
+  SendStoreRequest(context, StoreRange{.prefix = prefix, .after = scan.after},
+                   ForOrphans{.prefix = prefix});
 }
 
 void BeginScan(Context& context, const std::string& prefix) {
@@ -57,8 +57,8 @@
     return;
   }
   context.state.orphans[name.job] = Orphan{.owner = name.owner};
-  WantRecord(context, name.job);
-  WantSpec(context, name.job);
+  RequestRecord(context, name.job);
+  RequestSpec(context, name.job);
 }
 
 enum class OrphanStep { kWait, kAdopt, kForget };
@@ -79,8 +79,8 @@
     return OrphanStep::kForget;
   }
   if (!entry.record || !entry.spec) {
-    WantRecord(context, id);
-    WantSpec(context, id);
+    RequestRecord(context, id);
+    RequestSpec(context, id);
     return OrphanStep::kWait;
   }
   const bool owned = entry.record->owner == context.self() ||
@@ -257,7 +257,7 @@
   const auto it = context.state.orphans.find(id);
   if (it != context.state.orphans.end()) {
     it->second.writing = false;
-    WantRecord(context, id);
+    RequestRecord(context, id);
   }
 }
 
--- a/Source/engine/jobs/candidates.cc
+++ b/Source/engine/jobs/candidates.cc
@@ -75,9 +75,9 @@
       candidates.push_back(
           {.worker = &listed.info,
            .free = view->free,
-           .yielding = view->yielding,
+           .preemptible = view->yielding,
            .own_domain = listed.info.domain == state.options.self.domain,
-           .liking = LikingOf(context, id, view->owner),
+           .preference = LikingOf(context, id, view->owner),
            .slowness = static_cast<double>(view->slowness)});
     }
   }
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -33,7 +33,7 @@
 bool IsOnlyBooked(Job& job, const TaskName& name, const Task& task) {
   const StepRun& step = StepAt(job, name.occurrence, name.step);
   return job.spec.steps[name.step].gang && task.phase == TaskPhase::kOffered &&
-         task.run == step.gang_run && task.run != step.gang_started &&
+         task.run == step.gang_run && task.run != step.gang_started_run &&
          IsRunOfThisOwner(job, task.run);
 }
 
@@ -41,7 +41,7 @@
 
 // Nothing runs for a booking without an answer, so that a gang need not wait
 // for a worker that is cut off.
-void GiveUpBooking(Context& context,
+void ExpireBooking(Context& context,
                    Job& job,
                    const TaskName& name,
                    Task& task) {
--- a/Source/engine/jobs/gang_bookings.h
+++ b/Source/engine/jobs/gang_bookings.h
@@ -8,7 +8,7 @@
 namespace burdockrock::engine {
 
 // A member of a gang whose start was not ordered in time waits for room again.
-void GiveUpBooking(Context& context,
+void ExpireBooking(Context& context,
                    Job& job,
                    const TaskName& name,
                    Task& task);
--- a/Source/engine/jobs/job.h
+++ b/Source/engine/jobs/job.h
@@ -34,7 +34,7 @@
   bool stopping = false;
   Time stop_sent = Time::min();
   Time stopping_since{0};
-  Time heard{0};
+  Time last_update{0};
 };
 
 struct Task {
@@ -44,10 +44,10 @@
   std::uint32_t failures = 0;
   std::string worker{};
   std::string checkpoint{};
-  std::string avoid{};  // the worker where it failed or stood still last
-  Time since{0};        // in its phase
-  Time heard{0};        // of its run, last
-  Time queried{0};      // its worker's owner was asked for its run, last
+  std::string avoid_worker{};  // the worker where it failed or stood still last
+  Time since{0};               // in its phase
+  Time last_update{0};         // of its run, last
+  Time last_query{0};          // its worker's owner was asked for its run, last
   Time retry_at{0};
   bool booked = false;  // a gang's: its room is kept
   bool stopping = false;
@@ -69,20 +69,20 @@
   std::uint32_t done = 0;
   std::map<std::string, StepTicket> tickets{};  // by worker
   std::set<std::string> denied{};               // workers
-  Time asked_at = Time::min();   // whether to ask for advice, last
-  Time called_at = Time::min();  // for advice, last
-  bool asking = false;
-  bool unanswered = false;     // its last question was
-  std::uint32_t declines = 0;  // of its last question, in a row
+  Time advice_checked_at = Time::min();  // whether to ask for advice, last
+  Time advice_called_at = Time::min();   // for advice, last
+  bool advice_pending = false;
+  bool advice_unanswered = false;     // its last question was
+  std::uint32_t advice_declines = 0;  // of its last question, in a row
   // For the log, what it waited for. kForever: not yet.
   Time ready_at = kForever;    // its turn came
   Time advised_at = kForever;  // first tickets
   Time first_start = kForever;
   Time last_start = kForever;
   Time done_at = kForever;
-  std::uint64_t gang_run = 0;         // of all members
-  std::uint64_t gang_failed_run = 0;  // counted as a failure
-  std::uint64_t gang_started = 0;     // the run whose start was ordered
+  std::uint64_t gang_run = 0;          // of all members
+  std::uint64_t gang_failed_run = 0;   // counted as a failure
+  std::uint64_t gang_started_run = 0;  // the run whose start was ordered
 };
 
 struct Occurrence {
@@ -99,10 +99,10 @@
 };
 
 // Who waits for an answer about a job: a caller of this instance or of another.
-struct Asker {
+struct PendingCaller {
   std::string member{};  // empty: a caller here
   std::uint64_t call = 0;
-  Time until = kForever;  // is answered by then, whatever is known
+  Time reply_by = kForever;  // is answered by then, whatever is known
 };
 
 struct Job {
@@ -128,18 +128,19 @@
   // False after the registration was lost: somebody may have adopted the job,
   // which the next write to the store tells.
   bool verified = true;
-  std::vector<UnstoredEnd> unstored{};
+  std::vector<UnstoredEnd> unstored_ends{};
   // After an adoption.
   bool recovering = false;
-  WorkerSet uncovered{};            // workers that were not heard of yet
-  std::set<std::string> unheard{};  // members that have not answered yet
-  bool asked = false;
+  WorkerSet unreported_workers{};  // workers that were not heard of yet
+  std::set<std::string>
+      awaited_members{};  // members that have not answered yet
+  bool members_queried = false;
   // Callers that wait for its creation or its cancel to be stored.
-  std::vector<std::uint64_t> submitters{};
-  std::vector<Asker> cancellers{};
+  std::vector<std::uint64_t> submit_waiters{};
+  std::vector<PendingCaller> cancel_waiters{};
   // Asked for the state while the end may be on its way.
-  std::vector<Asker> watchers{};
-  bool cancel_wanted = false;  // before it was stored
+  std::vector<PendingCaller> status_waiters{};
+  bool cancel_requested = false;  // before it was stored
   Time ended_at = kForever;
   std::int64_t ended_ms = 0;  // wall time since 1970
 };
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -53,7 +53,7 @@
 
 void ConfirmEnds(Context& context, Job& job) {
   std::map<std::string, EndsStored> by_member;
-  std::erase_if(job.unstored, [&](const UnstoredEnd& it) {
+  std::erase_if(job.unstored_ends, [&](const UnstoredEnd& it) {
     if (it.version > job.stored_version) {
       return false;
     }
@@ -127,7 +127,7 @@
   const Duration kept = 2 * context.state.options.bounds.state_kept;
   std::vector<std::string> old;
   for (const auto& [id, job] : context.state.jobs) {
-    const bool ended = IsFinal(job.stored_state) && job.unstored.empty() &&
+    const bool ended = IsFinal(job.stored_state) && job.unstored_ends.empty() &&
                        job.stored_version == job.version;
     if (ended && HasPassed(context.now, job.ended_at, kept)) {
       old.push_back(id);
@@ -158,10 +158,10 @@
                {"revision", std::to_string(revision)},
                {"after_ms",
                 std::to_string(ToMilliseconds(context.now - job->created))}});
-  for (const std::uint64_t it : std::exchange(job->submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job->submit_waiters, {})) {
     context.Emit(AnswerCaller{.call = it, .answer = JobAccepted{}});
   }
-  if (job->cancel_wanted) {
+  if (job->cancel_requested) {
     EndJob(context, *job, JobState::kCancelled, "caller");
   }
 }
@@ -176,14 +176,15 @@
   }
   context.Log(EventNumber::kJobRepeated,
               {{"job", id}, {"revision", std::to_string(item.revision)}});
-  for (const std::uint64_t it : std::exchange(job->submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job->submit_waiters, {})) {
     context.Emit(AnswerCaller{.call = it, .answer = JobAccepted{}});
   }
   AnswerWatchers(context, *job, true);
-  const std::vector<Asker> cancellers = std::move(job->cancellers);
+  const std::vector<PendingCaller> cancel_waiters =
+      std::move(job->cancel_waiters);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RouteCancellers(context, id, cancellers);
+  RouteCancellers(context, id, cancel_waiters);
 }
 
 void OnSaved(Context& context,
@@ -206,10 +207,10 @@
     return;
   }
   AnswerWatchers(context, *job, true);
-  if (!job->cancellers.empty()) {
+  if (!job->cancel_waiters.empty()) {
     NoteCancelAcknowledged(context, *job);
   }
-  for (const Asker& it : std::exchange(job->cancellers, {})) {
+  for (const PendingCaller& it : std::exchange(job->cancel_waiters, {})) {
     AnswerCancel(context, it, job->stored_state);
   }
   context.state.digest.waiting_changed = true;
@@ -236,7 +237,7 @@
   DropJob(context, id, item.revision == 0 ? "no record" : "adopted");
 }
 
-void DoubtOwnership(Context& context) {
+void MarkOwnershipUnverified(Context& context) {
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
     job.verified = false;
@@ -260,10 +261,11 @@
                {"generation", std::to_string(job->generation)},
                {"cause", cause}});
   AnswerWatchers(context, *job, true);
-  const std::vector<Asker> cancellers = std::move(job->cancellers);
+  const std::vector<PendingCaller> cancel_waiters =
+      std::move(job->cancel_waiters);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RouteCancellers(context, id, cancellers);
+  RouteCancellers(context, id, cancel_waiters);
 }
 
 void ConfirmWhenStored(Context& context,
@@ -273,7 +275,7 @@
   if (report.sequence == 0) {
     return;
   }
-  job.unstored.push_back(
+  job.unstored_ends.push_back(
       {.from = from,
        .end = {.worker = report.worker, .sequence = report.sequence},
        .version = job.version});
--- a/Source/engine/jobs/job_progress.h
+++ b/Source/engine/jobs/job_progress.h
@@ -32,7 +32,7 @@
 // The registration was lost: the jobs may be others' by now. Nothing of them is
 // started until the store has confirmed the ownership. Otherwise an instance
 // that comes back would start tasks again that their new owner has seen end.
-void DoubtOwnership(Context& context);
+void MarkOwnershipUnverified(Context& context);
 
 // Another instance owns the job now.
 void DropJob(Context& context, const std::string& id, const char* cause);
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -33,10 +33,10 @@
     step.last_start = context.now;
     task.phase = TaskPhase::kRunning;
     task.since = context.now;
-    task.queried = context.now;
+    task.last_query = context.now;
     MarkStarted(context, job);
   }
-  task.heard = context.now;
+  task.last_update = context.now;
 }
 
 // Ends come again within seconds, in which a task does not end so often.
@@ -133,7 +133,7 @@
     // once more.
     const bool over = index == place.name.index && task.run == run;
     if (task.copy) {
-      StopOther(context, place.job, name, task, run);
+      StopOtherRun(context, place.job, name, task, run);
     } else if (!over) {
       StopTask(context, place.job, name, task);
     }
@@ -156,12 +156,12 @@
 
 // The run is there and does not go on.
 void OnStill(Context& context, const Place& place) {
-  place.task.heard = context.now;
+  place.task.last_update = context.now;
   if (place.spec.concurrent) {
-    return WantCopy(context, place.spec, place.task);
+    return RequestCopy(context, place.spec, place.task);
   }
   if (!place.task.stopping) {
-    place.task.avoid = place.task.worker;
+    place.task.avoid_worker = place.task.worker;
     StopTask(context, place.job, place.name, place.task);
   }
 }
@@ -184,9 +184,9 @@
 
 // Its worker is to be emptied.
 void OnUnwanted(Context& context, const Place& place) {
-  place.task.heard = context.now;
+  place.task.last_update = context.now;
   if (!place.task.stopping && MayTakeAway(context, place)) {
-    place.task.avoid = place.task.worker;
+    place.task.avoid_worker = place.task.worker;
     StopTask(context, place.job, place.name, place.task);
   }
 }
@@ -207,7 +207,7 @@
 
 void OnFailed(Context& context, const Place& place, const EndReport& report) {
   const std::uint32_t failures = CountFailure(place, report.run);
-  place.task.avoid = report.worker;
+  place.task.avoid_worker = report.worker;
   const QueuePolicy* queue =
       FindQueueByName(context.state.configuration, place.job.queue);
   const bool last = queue != nullptr && !place.spec.lasting &&
@@ -270,7 +270,7 @@
     task.copy = TaskCopy{.run = report.run,
                          .worker = report.worker,
                          .running = report.state == RunState::kRunning,
-                         .heard = context.now};
+                         .last_update = context.now};
   }
   return second;
 }
@@ -301,13 +301,13 @@
       task.phase == TaskPhase::kOffered ? kOfferRepeat : kRunCheck;
   // The worker's owner must be asked for the run even if it reports it unasked:
   // it takes a run that nobody asks for as forgotten.
-  const bool due = HasPassed(context.now, task.heard, patience) ||
-                   HasPassed(context.now, task.queried, kRunCheck);
+  const bool due = HasPassed(context.now, task.last_update, patience) ||
+                   HasPassed(context.now, task.last_query, kRunCheck);
   if (!IsOut(task) || task.stopping || !due) {
     return;
   }
-  task.heard = context.now - patience + kOfferRepeat;
-  task.queried = context.now;
+  task.last_update = context.now - patience + kOfferRepeat;
+  task.last_query = context.now;
   const std::string owner = OwnerOfWorker(context, task.worker);
   if (!owner.empty()) {
     RunQueries& query = queries[owner];
@@ -342,8 +342,8 @@
 
 // Nothing of the job is out and all of it is stored.
 bool IsSettled(Job& job) {
-  if (!IsFinal(job.stored_state) || !job.unstored.empty() || job.recovering ||
-      job.stored_version != job.version) {
+  if (!IsFinal(job.stored_state) || !job.unstored_ends.empty() ||
+      job.recovering || job.stored_version != job.version) {
     return false;
   }
   bool out = false;
@@ -401,7 +401,7 @@
       MarkRunning(context, place->job, place->step, place->task);
     } else if (it.outcome == OfferOutcome::kBooked) {
       place->task.booked = true;
-      place->task.heard = context.now;
+      place->task.last_update = context.now;
       context.state.placement_due = true;
     } else {
       OnRefused(context, *place, it);
@@ -475,7 +475,7 @@
       MarkRunning(context, place->job, place->step, task);
       break;
     case RunState::kPending:
-      task.heard = context.now;
+      task.last_update = context.now;
       break;
     case RunState::kAbsent:
       context.Log(EventNumber::kAttemptLost,
@@ -499,7 +499,7 @@
       OnUnwanted(context, *place);
       break;
     case RunState::kUnreached:
-      WantCopy(context, place->spec, task);
+      RequestCopy(context, place->spec, task);
       break;
   }
 }
@@ -557,7 +557,7 @@
     Job& job = context.state.jobs.at(id);
     ForEachTask(job, [&](const TaskName& name, Task& task) {
       CheckTask(context, name, task, queries);
-      GiveUpBooking(context, job, name, task);
+      ExpireBooking(context, job, name, task);
       DriveCopy(context, job, name, task, queries);
     });
     DriveStops(context, job);
--- a/Source/engine/jobs/job_table.cc
+++ b/Source/engine/jobs/job_table.cc
@@ -166,7 +166,7 @@
   }
   task.stopping = true;
   task.stop_sent = context.now;
-  task.heard = context.now;
+  task.last_update = context.now;
   SendStop(context, job, name, task.worker, task.run);
 }
 
--- a/Source/engine/jobs/open_work.cc
+++ b/Source/engine/jobs/open_work.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-void Add(OpenKind& kind, Duration age) {
+void Add(OpenItems& kind, Duration age) {
   ++kind.count;
   kind.oldest = std::max(kind.oldest, age);
 }
--- a/Source/engine/jobs/open_work.h
+++ b/Source/engine/jobs/open_work.h
@@ -12,20 +12,20 @@
 namespace burdockrock::engine {
 
 // Things of one kind, and for how long the oldest of them has been open.
-struct OpenKind {
+struct OpenItems {
   std::size_t count = 0;
   Duration oldest{0};
 
-  auto operator<=>(const OpenKind&) const = default;
+  auto operator<=>(const OpenItems&) const = default;
 };
 
 struct OpenWork {
-  OpenKind recoveries{};  // own jobs of which is not known yet what runs
-  OpenKind claims{};      // workers that have not answered a claim
+  OpenItems recoveries{};  // own jobs of which is not known yet what runs
+  OpenItems claims{};      // workers that have not answered a claim
   // Runs of own jobs that were ordered to stop and are not known to have ended.
-  OpenKind stops_of_jobs{};
+  OpenItems stops_of_jobs{};
   // Runs on own workers likewise.
-  OpenKind stops_at_workers{};
+  OpenItems stops_at_workers{};
 
   auto operator<=>(const OpenWork&) const = default;
 };
--- a/Source/engine/jobs/placement_rule.cc
+++ b/Source/engine/jobs/placement_rule.cc
@@ -63,7 +63,8 @@
                           const WorkerInfo& worker,
                           Resources free) {
   free.processors_milli -= static_cast<std::int64_t>(
-      need.reserve * static_cast<double>(worker.capacity.processors_milli));
+      need.reserved_share *
+      static_cast<double>(worker.capacity.processors_milli));
   return CountFitting(need.room, free);
 }
 
@@ -73,7 +74,7 @@
   }
   Resources room = need.room;
   room.processors_milli += static_cast<std::int64_t>(
-      need.reserve *
+      need.reserved_share *
       static_cast<double>(candidate.worker->capacity.processors_milli));
   return Fits(room, candidate.free);
 }
@@ -91,14 +92,14 @@
       !HasLabel(*candidate.worker, need.step->rack)) {
     cost += kOtherRack;
   }
-  if (candidate.worker->id == need.avoid) {
+  if (candidate.worker->id == need.avoid_worker) {
     cost += kAvoided;
   }
   cost += need.speed_weight * kSlow * (candidate.slowness - 1);
-  if (candidate.liking < 1) {
+  if (candidate.preference < 1) {
     const auto fits = static_cast<double>(
         CountRoomFor(need, *candidate.worker, candidate.free));
-    cost += kOtherOwner * (1 - candidate.liking) +
+    cost += kOtherOwner * (1 - candidate.preference) +
             kLastRoom * std::max(need.speed_weight, 0.0) / std::max(fits, 1.0);
   }
   const double other_domain =
--- a/Source/engine/jobs/placement_rule.h
+++ b/Source/engine/jobs/placement_rule.h
@@ -17,11 +17,11 @@
 struct Candidate {
   const WorkerInfo* worker = nullptr;
   Resources free{};
-  Resources yielding{};  // could be freed for the most urgent work
+  Resources preemptible{};  // could be freed for the most urgent work
   bool own_domain = false;
   // 1: this instance owns it. Others' have less, down to 0, by chance but
   // always the same.
-  double liking = 0;
+  double preference = 0;
   double slowness = 1;  // against the mean of the service's workers
 };
 
@@ -31,9 +31,9 @@
   // How much a fast worker counts; 0: not at all.
   double speed_weight = 0;
   // Kept free for work that goes first, as a share of the worker's processors.
-  double reserve = 0;
-  std::string avoid{};  // a worker, unless there is no other
-  std::string rack{};   // only there; empty: anywhere
+  double reserved_share = 0;
+  std::string avoid_worker{};  // a worker, unless there is no other
+  std::string rack{};          // only there; empty: anywhere
 };
 
 // Work with a tight objective goes to fast workers; work that has time leaves
--- a/Source/engine/jobs/placing.cc
+++ b/Source/engine/jobs/placing.cc
@@ -71,7 +71,7 @@
     return HasRoomNow(need, candidate);
   }
   Candidate emptied = candidate;
-  emptied.free += candidate.yielding;
+  emptied.free += candidate.preemptible;
   return HasRoomNow(need, emptied);
 }
 
@@ -211,7 +211,7 @@
   task.run = run;
   task.worker = candidate.worker->id;
   task.since = round.context.now;
-  task.heard = round.context.now;
+  task.last_update = round.context.now;
   task.booked = false;
 }
 
@@ -238,7 +238,7 @@
     if (!IsDue(round.context, task)) {
       continue;
     }
-    need.avoid = task.avoid;
+    need.avoid_worker = task.avoid_worker;
     choice.preempts = false;
     Candidate* best = Choose(choice, need);
     if (best == nullptr && MayPreempt(round.context, ready)) {
@@ -251,7 +251,7 @@
     ++choice.placed[best->worker->id];
     Assign(round, need.room, *best, task, NextRun(*ready.job, LastRun(task)));
     if (choice.preempts) {
-      best->yielding -= need.room;
+      best->preemptible -= need.room;
       round.context.state.view[task.worker].yielding -= need.room;
     }
     AddOffer(round, ready, it, FirstOf(task),
@@ -281,7 +281,7 @@
     task.copy_wanted = false;
     task.copy = TaskCopy{.run = NextRun(*ready.job, LastRun(task)),
                          .worker = best->worker->id,
-                         .heard = round.context.now};
+                         .last_update = round.context.now};
     AddOffer(round, ready, it,
              {.worker = task.copy->worker,
               .run = task.copy->run,
@@ -381,17 +381,17 @@
   StepRun& step = ready.run();
   const bool all_booked = std::all_of(step.tasks.begin(), step.tasks.end(),
                                       [](const Task& it) { return it.booked; });
-  if (!all_booked || step.gang_started == step.gang_run) {
+  if (!all_booked || step.gang_started_run == step.gang_run) {
     return;
   }
-  step.gang_started = step.gang_run;
+  step.gang_started_run = step.gang_run;
   round.context.Log(EventNumber::kGangStarted,
                     {{"job", ready.job->id},
                      {"step", std::to_string(ready.step)},
                      {"run", std::to_string(step.gang_run)},
                      {"tasks", std::to_string(step.tasks.size())}});
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
-    step.tasks[it].heard = round.context.now;
+    step.tasks[it].last_update = round.context.now;
     AddOffer(round, ready, it, FirstOf(step.tasks[it]), OfferKind::kStart);
   }
 }
@@ -506,7 +506,7 @@
   return {.step = &ready.spec(),
           .room = RoomOf(ready.spec()),
           .speed_weight = SpeedWeight(ready.queue->stretch),
-          .reserve =
+          .reserved_share =
               kReservePerPriority * static_cast<double>(ready.queue->priority)};
 }
 
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-Resources YieldingRoom(const OwnedWorker& worker) {
+Resources PreemptibleRoom(const OwnedWorker& worker) {
   Resources room;
   for (const auto& [task, run] : worker.runs) {
     if (CanYield(run)) {
@@ -98,9 +98,9 @@
   return true;
 }
 
-void DriveAwaiting(Context& context,
-                   const std::string& id,
-                   OwnedWorker& worker) {
+void DriveRunsAwaitingRoom(Context& context,
+                           const std::string& id,
+                           OwnedWorker& worker) {
   std::vector<std::string> late;
   for (auto& [task, run] : worker.runs) {
     if (run.phase != RunPhase::kAwaitingRoom) {
--- a/Source/engine/jobs/preemption.h
+++ b/Source/engine/jobs/preemption.h
@@ -10,7 +10,7 @@
 
 // Room of the runs that can be stopped at little cost: they checkpoint, so that
 // a stop throws nothing away, and nobody else depends on them.
-Resources YieldingRoom(const OwnedWorker& worker);
+Resources PreemptibleRoom(const OwnedWorker& worker);
 
 // Orders stops until `room` will be free. False, and nothing is stopped, if it
 // would not be.
@@ -21,9 +21,9 @@
 
 // Starts the run that was waiting once the room is free: what is being stopped
 // still takes its room.
-void DriveAwaiting(Context& context,
-                   const std::string& id,
-                   OwnedWorker& worker);
+void DriveRunsAwaitingRoom(Context& context,
+                           const std::string& id,
+                           OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -83,7 +83,7 @@
   Job job = MakeJob(id, std::move(spec), queue.name);
   job.created = context.now;
   job.accepted_ms = context.wall_ms;
-  job.submitters.push_back(call);
+  job.submit_waiters.push_back(call);
   QueueCreation(context, job);
   context.state.active.insert(id);
   context.state.jobs.emplace(id, std::move(job));
@@ -99,7 +99,7 @@
     if (job->stored) {
       return Answer(context, call, JobAccepted{});
     }
-    job->submitters.push_back(call);
+    job->submit_waiters.push_back(call);
     return;
   }
   if (context.state.stop.asked) {
@@ -141,7 +141,7 @@
       usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
 }
 
-void TellState(Context& context, const Asker& asker, const Job& job) {
+void TellState(Context& context, const PendingCaller& asker, const Job& job) {
   const JobState state = ShownState(job);
   if (asker.member.empty()) {
     return Answer(context, asker.call, JobShown{.state = state});
@@ -172,22 +172,22 @@
   return true;
 }
 
-void OnStateAsked(Context& context, Job& job, Asker asker) {
+void OnStateAsked(Context& context, Job& job, PendingCaller asker) {
   if (!MayHaveEnded(job)) {
     return TellState(context, asker, job);
   }
-  asker.until = context.now + kStateNews;
-  job.watchers.push_back(std::move(asker));
+  asker.reply_by = context.now + kStateNews;
+  job.status_waiters.push_back(std::move(asker));
 }
 
-void BeginCancel(Context& context, Job& job, Asker canceller) {
+void BeginCancel(Context& context, Job& job, PendingCaller canceller) {
   if (IsFinal(job.stored_state)) {
     return AnswerCancel(context, canceller, job.stored_state);
   }
-  canceller.until = QuestionDeadline(context);
-  job.cancellers.push_back(std::move(canceller));
+  canceller.reply_by = QuestionDeadline(context);
+  job.cancel_waiters.push_back(std::move(canceller));
   if (!job.stored) {
-    job.cancel_wanted = true;
+    job.cancel_requested = true;
     return;
   }
   EndJob(context, job, JobState::kCancelled, "caller");
@@ -252,9 +252,9 @@
 bool Advance(Context& context, std::uint64_t id, WaitingCaller& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
     if (caller.question == CallerQuestion::kState) {
-      OnStateAsked(context, *job, Asker{.call = caller.call});
+      OnStateAsked(context, *job, PendingCaller{.call = caller.call});
     } else {
-      BeginCancel(context, *job, Asker{.call = caller.call});
+      BeginCancel(context, *job, PendingCaller{.call = caller.call});
     }
     return true;
   }
@@ -266,7 +266,7 @@
   const bool read = entry.record || entry.absent;
   if (!read || entry.known_from < caller.read_from) {
     if (!entry.reading_record || entry.read_at < caller.read_from) {
-      WantRecord(context, caller.job);
+      RequestRecord(context, caller.job);
     }
     AskAllWithoutStore(context, id, caller);
     return false;
@@ -289,7 +289,7 @@
   const bool silent = caller.asked == owner &&
                       HasPassed(context.now, caller.asked_at, kPeerAnswer);
   if (silent) {
-    WantRecord(context, caller.job);
+    RequestRecord(context, caller.job);
   }
   if (silent || caller.asked != owner) {
     Ask(context, id, caller, owner);
@@ -341,8 +341,8 @@
 
 // The cancel goes on; a member that asked for its caller gives up by itself.
 void GiveUpCancellers(Context& context, Job& job) {
-  std::erase_if(job.cancellers, [&](const Asker& it) {
-    const bool due = context.now >= it.until;
+  std::erase_if(job.cancel_waiters, [&](const PendingCaller& it) {
+    const bool due = context.now >= it.reply_by;
     if (due && it.member.empty()) {
       context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
       Answer(context, it.call,
@@ -353,7 +353,7 @@
 }
 
 void GiveUpSubmitters(Context& context, Job& job) {
-  for (const std::uint64_t it : std::exchange(job.submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job.submit_waiters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
     Answer(context, it, NotKnown{.detail = "the store has not answered"});
   }
@@ -367,11 +367,11 @@
   std::vector<std::string> withdrawn;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
-    if (job.stored || job.submitters.empty()) {
+    if (job.stored || job.submit_waiters.empty()) {
       continue;
     }
     if (!well && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
-      for (const std::uint64_t it : job.submitters) {
+      for (const std::uint64_t it : job.submit_waiters) {
         Refuse(context, it, id,
                context.state.stop.asked ? RefusalCause::kStopping
                                         : RefusalCause::kStoreAway);
@@ -385,10 +385,11 @@
   for (const std::string& it : withdrawn) {
     Job& job = context.state.jobs.at(it);
     AnswerWatchers(context, job, true);
-    const std::vector<Asker> cancellers = std::move(job.cancellers);
+    const std::vector<PendingCaller> cancel_waiters =
+        std::move(job.cancel_waiters);
     context.state.active.erase(it);
     context.state.jobs.erase(it);
-    RouteCancellers(context, it, cancellers);
+    RouteCancellers(context, it, cancel_waiters);
   }
 }
 
@@ -458,9 +459,10 @@
   }
   if (query.question == JobQuestion::kCancel) {
     return BeginCancel(context, *job,
-                       Asker{.member = from, .call = query.call});
+                       PendingCaller{.member = from, .call = query.call});
   }
-  OnStateAsked(context, *job, Asker{.member = from, .call = query.call});
+  OnStateAsked(context, *job,
+               PendingCaller{.member = from, .call = query.call});
 }
 
 void OnJobReply(Context& context, const JobReply& reply) {
@@ -515,7 +517,9 @@
   DriveSubmitters(context);
 }
 
-void AnswerCancel(Context& context, const Asker& canceller, JobState state) {
+void AnswerCancel(Context& context,
+                  const PendingCaller& canceller,
+                  JobState state) {
   if (canceller.member.empty()) {
     return Answer(context, canceller.call, CancelTaken{.state = state});
   }
@@ -524,8 +528,8 @@
 }
 
 void AnswerWatchers(Context& context, Job& job, bool all) {
-  std::erase_if(job.watchers, [&](const Asker& it) {
-    const bool due = all || context.now >= it.until;
+  std::erase_if(job.status_waiters, [&](const PendingCaller& it) {
+    const bool due = all || context.now >= it.reply_by;
     if (due) {
       TellState(context, it, job);
     }
@@ -535,8 +539,8 @@
 
 void RouteCancellers(Context& context,
                      const std::string& job,
-                     const std::vector<Asker>& cancellers) {
-  for (const Asker& it : cancellers) {
+                     const std::vector<PendingCaller>& cancel_waiters) {
+  for (const PendingCaller& it : cancel_waiters) {
     if (it.member.empty()) {
       OnQuestion(context, it.call, CallerQuestion::kCancel, job);
     } else {
@@ -548,9 +552,9 @@
 OpenRequests CountOpenRequests(const State& state) {
   OpenRequests open{.questions = state.callers.size()};
   for (const auto& [id, job] : state.jobs) {
-    open.submissions += job.submitters.size();
-    open.cancels += job.cancellers.size();
-    open.states += job.watchers.size();
+    open.submissions += job.submit_waiters.size();
+    open.cancels += job.cancel_waiters.size();
+    open.states += job.status_waiters.size();
   }
   return open;
 }
@@ -559,7 +563,7 @@
   for (auto& [id, job] : context.state.jobs) {
     AnswerWatchers(context, job, true);
     if (!IsFinal(job.stored_state)) {
-      RouteCancellers(context, id, std::exchange(job.cancellers, {}));
+      RouteCancellers(context, id, std::exchange(job.cancel_waiters, {}));
     }
   }
 }
--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/questions.h
@@ -24,7 +24,9 @@
 // Gives up and asks again, as due.
 void DriveCallers(Context& context);
 
-void AnswerCancel(Context& context, const Asker& canceller, JobState state);
+void AnswerCancel(Context& context,
+                  const PendingCaller& canceller,
+                  JobState state);
 
 // Tells the job's state to those who wait for news of it: all, or those whose
 // patience is over.
@@ -33,7 +35,7 @@
 // The job is another instance's now: whoever waits for its cancel asks there.
 void RouteCancellers(Context& context,
                      const std::string& job,
-                     const std::vector<Asker>& cancellers);
+                     const std::vector<PendingCaller>& cancel_waiters);
 
 // This instance owns its jobs no longer: who waits for a cancel asks whoever
 // adopts the job, and who waits for news of one is told what is known.
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -83,7 +83,7 @@
 }
 
 bool HasToAsk(const Job& job) {
-  return !job.uncovered.empty() || !job.unheard.empty();
+  return !job.unreported_workers.empty() || !job.awaited_members.empty();
 }
 
 // One round of questions for all jobs that are recovering.
@@ -118,7 +118,7 @@
 std::set<std::string> AskedNow(const Context& context,
                                const Job& job,
                                Round& round) {
-  std::set<std::string> members = job.unheard;
+  std::set<std::string> members = job.awaited_members;
   if (round.unseen) {
     const std::set<std::string>& told_by = context.state.unseen.told_by;
     for (const std::string& it : OtherMembers(context)) {
@@ -134,7 +134,7 @@
     }
     return members;
   }
-  for (const std::uint32_t it : job.uncovered.Numbers()) {
+  for (const std::uint32_t it : job.unreported_workers.Numbers()) {
     const std::string& speaker = SpeakerFor(context, it, round);
     if (!speaker.empty()) {
       members.insert(speaker);
@@ -150,15 +150,15 @@
     job.confirmed_at = context.now;
     MarkChanged(context, job, true);
   }
-  job.asked = true;
-  job.uncovered.EraseIf([&](std::uint32_t it) {
+  job.members_queried = true;
+  job.unreported_workers.EraseIf([&](std::uint32_t it) {
     return !MayRunTasks(context.state,
                         context.state.recovery.numbers.NameOf(it));
   });
   if (!HasToAsk(job) && !round.unseen) {
     return;
   }
-  round.uncovered.InsertAll(job.uncovered);
+  round.uncovered.InsertAll(job.unreported_workers);
   for (const std::string& it : AskedNow(context, job, round)) {
     round.queries[it].jobs.push_back(
         {.job = job.id, .generation = job.generation});
@@ -224,14 +224,15 @@
   job.recovering = true;
   for (const auto& [worker, it] : context.state.workers) {
     if (MayRunTasks(context.state, worker)) {
-      job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
+      job.unreported_workers.Insert(
+          context.state.recovery.numbers.NumberOf(worker));
     }
   }
   // Each may own workers that this instance has never seen in the list.
   for (const std::string& it : OtherMembers(context)) {
-    job.unheard.insert(it);
+    job.awaited_members.insert(it);
   }
-  job.unheard.insert(context.self());
+  job.awaited_members.insert(context.self());
 }
 
 void DriveRecovery(Context& context) {
@@ -246,7 +247,7 @@
     if (!job.recovering) {
       continue;
     }
-    std::erase_if(job.unheard, [&](const std::string& member) {
+    std::erase_if(job.awaited_members, [&](const std::string& member) {
       return FindMember(context.state, member) == nullptr;
     });
     if (!HasToAsk(job)) {
@@ -259,7 +260,7 @@
       }
     }
     recovering = true;
-    if (ask || !job.asked) {
+    if (ask || !job.members_queried) {
       AskAbout(context, job, round);
     }
   }
@@ -301,9 +302,9 @@
     if (job == nullptr || !job->recovering) {
       continue;
     }
-    job->unheard.erase(from);
+    job->awaited_members.erase(from);
     for (const std::uint32_t it : covered) {
-      job->uncovered.Erase(it);
+      job->unreported_workers.Erase(it);
     }
   }
 }
@@ -315,7 +316,8 @@
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
     if (job.recovering) {
-      job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
+      job.unreported_workers.Insert(
+          context.state.recovery.numbers.NumberOf(worker));
     }
   }
 }
@@ -326,7 +328,7 @@
     return;
   }
   for (const std::string& id : context.state.active) {
-    context.state.jobs.at(id).uncovered.Erase(*number);
+    context.state.jobs.at(id).unreported_workers.Erase(*number);
   }
 }
 
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -55,7 +55,7 @@
   KnownJob& known = context.state.known[name->job];
   if (HasPassed(context.now, known.reviewed, kReviewAgain)) {
     known.reviewed = context.now;
-    WantRecord(context, name->job);
+    RequestRecord(context, name->job);
   }
 }
 
--- a/Source/engine/jobs/step_waits.cc
+++ b/Source/engine/jobs/step_waits.cc
@@ -73,7 +73,7 @@
   if (wait.room < least) {
     return WaitCause::kRoom;
   }
-  return ready.run().asking ? WaitCause::kAdvice : WaitCause::kTickets;
+  return ready.run().advice_pending ? WaitCause::kAdvice : WaitCause::kTickets;
 }
 
 }  // namespace
@@ -119,8 +119,8 @@
   }
   CountRoom(context, ready, wait);
   wait.denied = ready.run().denied.size();
-  if (ready.run().asked_at != Time::min()) {
-    wait.asked = context.now - ready.run().asked_at;
+  if (ready.run().advice_checked_at != Time::min()) {
+    wait.since_advice_check = context.now - ready.run().advice_checked_at;
   }
   wait.cause = CauseOf(ready, wait, all_pause);
   return wait;
--- a/Source/engine/jobs/step_waits.h
+++ b/Source/engine/jobs/step_waits.h
@@ -29,7 +29,7 @@
   std::size_t ticketed = 0;  // of these at workers with a valid ticket
   std::size_t tickets = 0;   // valid ones
   std::size_t denied = 0;    // workers that advice has ruled out
-  Duration asked{0};         // since advice was last considered; 0: never
+  Duration since_advice_check{0};  // since advice was last considered; 0: never
 };
 
 // Since when the first of the step's waiting tasks waits; kForever: none does.
--- a/Source/engine/jobs/task_copies.cc
+++ b/Source/engine/jobs/task_copies.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void WantCopy(Context& context, const StepSpec& spec, Task& task) {
+void RequestCopy(Context& context, const StepSpec& spec, Task& task) {
   if (!spec.concurrent || spec.gang || task.copy ||
       task.phase != TaskPhase::kRunning) {
     return;
@@ -34,7 +34,7 @@
 void OnCopyAnswer(Context& context, Task& task, OfferOutcome outcome) {
   if (outcome == OfferOutcome::kStarted) {
     task.copy->running = true;
-    task.copy->heard = context.now;
+    task.copy->last_update = context.now;
     return;
   }
   task.last_copy = task.copy->run;
@@ -43,7 +43,7 @@
 }
 
 void OnCopyReport(Context& context, Task& task, RunState state) {
-  task.copy->heard = context.now;
+  task.copy->last_update = context.now;
   if (state == RunState::kRunning) {
     task.copy->running = true;
   } else if (state == RunState::kAbsent) {
@@ -61,17 +61,17 @@
   task.run = copy.run;
   task.worker = copy.worker;
   task.since = context.now;
-  task.heard = copy.heard;
+  task.last_update = copy.last_update;
   task.copy_wanted = false;
   task.stopping = false;
   return true;
 }
 
-void StopOther(Context& context,
-               const Job& job,
-               const TaskName& name,
-               Task& task,
-               std::uint64_t done_run) {
+void StopOtherRun(Context& context,
+                  const Job& job,
+                  const TaskName& name,
+                  Task& task,
+                  std::uint64_t done_run) {
   if (IsCopy(task, done_run)) {
     const bool out =
         task.phase == TaskPhase::kOffered || task.phase == TaskPhase::kRunning;
@@ -79,8 +79,8 @@
       task.copy.reset();
       return;
     }
-    task.copy =
-        TaskCopy{.run = task.run, .worker = task.worker, .heard = context.now};
+    task.copy = TaskCopy{
+        .run = task.run, .worker = task.worker, .last_update = context.now};
   }
   StopCopy(context, job, name, task);
 }
@@ -97,7 +97,7 @@
   }
   task.copy->stopping = true;
   task.copy->stop_sent = context.now;
-  task.copy->heard = context.now;
+  task.copy->last_update = context.now;
   SendStop(context, job, name, task.copy->worker, task.copy->run);
 }
 
@@ -116,10 +116,10 @@
     return;
   }
   const Duration patience = task.copy->running ? kRunCheck : kOfferRepeat;
-  if (!HasPassed(context.now, task.copy->heard, patience)) {
+  if (!HasPassed(context.now, task.copy->last_update, patience)) {
     return;
   }
-  task.copy->heard = context.now - patience + kOfferRepeat;
+  task.copy->last_update = context.now - patience + kOfferRepeat;
   const std::string owner = OwnerOfWorker(context, task.copy->worker);
   if (!owner.empty()) {
     queries[owner].runs.push_back({.task = ToString(name),
--- a/Source/engine/jobs/task_copies.h
+++ b/Source/engine/jobs/task_copies.h
@@ -12,7 +12,7 @@
 namespace burdockrock::engine {
 
 // The task's run may not end soon: a copy is placed when there is room.
-void WantCopy(Context& context, const StepSpec& spec, Task& task);
+void RequestCopy(Context& context, const StepSpec& spec, Task& task);
 
 // Whether the task waits for a worker for its copy.
 bool WaitsForCopy(const Task& task);
@@ -30,11 +30,11 @@
 
 // The task is done by the run: the other one, if any, is stopped. It is kept as
 // the copy until its end is known.
-void StopOther(Context& context,
-               const Job& job,
-               const TaskName& name,
-               Task& task,
-               std::uint64_t done_run);
+void StopOtherRun(Context& context,
+                  const Job& job,
+                  const TaskName& name,
+                  Task& task,
+                  std::uint64_t done_run);
 
 void StopCopy(Context& context,
               const Job& job,
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -171,7 +171,7 @@
                     .fence = worker->fence,
                     .version = worker->version,
                     .free = FreeRoom(*worker),
-                    .yielding = YieldingRoom(*worker),
+                    .yielding = PreemptibleRoom(*worker),
                     .accepting = Accepts(context, *worker),
                     .slowness = worker->speed.slowness()};
     ClampToZero(room.free);
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -82,7 +82,7 @@
   members.granting = true;
   const Duration ttl =
       std::max(kMemberTtl, context.state.options.bounds.min_lease_ttl);
-  AskStore(context, StoreLeaseGrant{.ttl = ttl}, ForLeaseGrant{});
+  SendStoreRequest(context, StoreLeaseGrant{.ttl = ttl}, ForLeaseGrant{});
 }
 
 // An earlier incarnation of this machine is surely gone: its entry goes with
@@ -103,16 +103,17 @@
   MembersState& members = context.state.members;
   members.registering = true;
   const std::string key = MemberKey(context.self());
-  AskStore(context,
-           StoreTransaction{
-               .conditions = {{.key = key, .revision = 0}},
-               .puts = {{.key = key,
-                         .value = EncodeMember(context.state.options.self),
-                         .lease = members.lease},
-                        {.key = NodeKey(context.state.options.self.node),
-                         .value = context.self()}},
-               .removes = EarlierIncarnations(context)},
-           ForRegistration{});
+  SendStoreRequest(
+      context,
+      StoreTransaction{
+          .conditions = {{.key = key, .revision = 0}},
+          .puts = {{.key = key,
+                    .value = EncodeMember(context.state.options.self),
+                    .lease = members.lease},
+                   {.key = NodeKey(context.state.options.self.node),
+                    .value = context.self()}},
+          .removes = EarlierIncarnations(context)},
+      ForRegistration{});
 }
 
 void Raise(Context& context) {
@@ -121,13 +122,14 @@
   members.raise_wanted = false;
   members.raised_at = context.now;
   const std::string key = MemberKey(context.self());
-  AskStore(context,
-           StoreTransaction{
-               .conditions = {{.key = key, .revision = members.fence}},
-               .puts = {{.key = key,
-                         .value = EncodeMember(context.state.options.self),
-                         .lease = members.lease}}},
-           ForRaise{});
+  SendStoreRequest(
+      context,
+      StoreTransaction{
+          .conditions = {{.key = key, .revision = members.fence}},
+          .puts = {{.key = key,
+                    .value = EncodeMember(context.state.options.self),
+                    .lease = members.lease}}},
+      ForRaise{});
 }
 
 // The machine runs one process: an earlier one is gone for certain.
@@ -177,8 +179,8 @@
   if (!members.renewing && context.now >= members.renew_at) {
     members.renewing = true;
     members.renewal_sent = context.now;
-    AskStore(context, StoreLeaseRenew{.lease = members.lease},
-             ForLeaseRenewal{.lease = members.lease});
+    SendStoreRequest(context, StoreLeaseRenew{.lease = members.lease},
+                     ForLeaseRenewal{.lease = members.lease});
   }
 }
 
@@ -382,7 +384,7 @@
   members.renew_at = context.now;
   members.present.erase(context.self());
   MembersChanged(members);
-  DoubtOwnership(context);
+  MarkOwnershipUnverified(context);
   DoubtWorkers(context);
 }
 
@@ -401,7 +403,8 @@
   if (members.lease == 0) {
     return;
   }
-  AskStore(context, StoreLeaseEnd{.lease = members.lease}, ForNothing{});
+  SendStoreRequest(context, StoreLeaseEnd{.lease = members.lease},
+                   ForNothing{});
   members.lease = 0;
   members.fence = 0;
   members.present.erase(context.self());
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -27,11 +27,11 @@
   NodesState& nodes = context.state.members.nodes;
   nodes.in_flight = true;
   nodes.read_at = context.now;
-  AskStore(context,
-           StoreRange{.prefix = std::string(kNodePrefix),
-                      .after = nodes.after,
-                      .may_be_stale = forget},
-           ForNodes{.forget = forget});
+  SendStoreRequest(context,
+                   StoreRange{.prefix = std::string(kNodePrefix),
+                              .after = nodes.after,
+                              .may_be_stale = forget},
+                   ForNodes{.forget = forget});
 }
 
 void Learn(Context& context, const std::string& node) {
@@ -67,7 +67,7 @@
     }
   }
   if (!transaction.removes.empty()) {
-    AskStore(context, std::move(transaction), ForNothing{});
+    SendStoreRequest(context, std::move(transaction), ForNothing{});
   }
 }
 
--- a/Source/engine/notices.cc
+++ b/Source/engine/notices.cc
@@ -61,7 +61,7 @@
 // The first few by the time of their last report.
 std::string DescribeUnheard(const Context& context, const Job& job) {
   std::vector<std::pair<Time, std::string>> workers;
-  for (const std::uint32_t number : job.uncovered.Numbers()) {
+  for (const std::uint32_t number : job.unreported_workers.Numbers()) {
     const std::string& it = context.state.recovery.numbers.NameOf(number);
     const auto view = context.state.view.find(it);
     const bool told = view != context.state.view.end();
@@ -91,8 +91,8 @@
            {"lists", ListsAreRead(context.state) ? "read" : "unread"},
            {"registered_ms",
             Milliseconds(context.now - context.state.members.registered_at)},
-           {"members", std::to_string(job.unheard.size())},
-           {"unheard", std::to_string(job.uncovered.size())},
+           {"members", std::to_string(job.awaited_members.size())},
+           {"unheard", std::to_string(job.unreported_workers.size())},
            {"workers", DescribeUnheard(context, job)}});
     }
   }
@@ -168,7 +168,7 @@
                  {"ticketed", std::to_string(wait.ticketed)},
                  {"tickets", std::to_string(wait.tickets)},
                  {"denied", std::to_string(wait.denied)},
-                 {"asked_ms", Milliseconds(wait.asked)}});
+                 {"asked_ms", Milliseconds(wait.since_advice_check)}});
   }
   reminders.EndRound();
 }
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -39,13 +39,15 @@
     entry.reading_record = true;
     entry.read_at = context.now;
     ++reads;
-    AskStore(context, StoreRead{.key = JobKey(job)}, ForJobRead{.job = job});
+    SendStoreRequest(context, StoreRead{.key = JobKey(job)},
+                     ForJobRead{.job = job});
   }
   if (entry.want_spec && !entry.reading_spec) {
     entry.want_spec = false;
     entry.reading_spec = true;
     ++reads;
-    AskStore(context, StoreRead{.key = SpecKey(job)}, ForSpecRead{.job = job});
+    SendStoreRequest(context, StoreRead{.key = SpecKey(job)},
+                     ForSpecRead{.job = job});
   }
   return reads;
 }
@@ -118,7 +120,7 @@
   known.generation = generation;
 }
 
-void WantRecord(Context& context, const std::string& job) {
+void RequestRecord(Context& context, const std::string& job) {
   if (job.empty()) {
     return;
   }
@@ -128,7 +130,7 @@
   context.state.catalog_wanted.insert(job);
 }
 
-void WantSpec(Context& context, const std::string& job) {
+void RequestSpec(Context& context, const std::string& job) {
   CatalogEntry& entry = context.state.catalog[job];
   entry.used = context.now;
   if (entry.spec) {
@@ -183,7 +185,7 @@
     entry.record.reset();
     entry.absent = true;
   } else {
-    WantRecord(context, job);
+    RequestRecord(context, job);
     return;
   }
   entry.known_from = entry.read_at;
@@ -206,7 +208,7 @@
     entry.spec = std::get<JobSpec>(std::move(decoded));
     DescribeRuns(context, job, *entry.spec);
   } else if (!IsAbsent(answer)) {
-    WantSpec(context, job);
+    RequestSpec(context, job);
   }
 }
 
--- a/Source/engine/records/catalog.h
+++ b/Source/engine/records/catalog.h
@@ -9,7 +9,7 @@
 namespace burdockrock::engine {
 
 // Reads the job's record (again), unless it was read just now.
-void WantRecord(Context& context, const std::string& job);
+void RequestRecord(Context& context, const std::string& job);
 
 // Notes whose a job is. Questions of an owner that is new here are answered
 // only by what is proven after it first asked.
@@ -18,7 +18,7 @@
                std::uint64_t generation);
 
 // Reads the job's spec, unless it is known.
-void WantSpec(Context& context, const std::string& job);
+void RequestSpec(Context& context, const std::string& job);
 
 // Starts the reads that are wanted.
 void DriveCatalog(Context& context);
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -22,11 +22,11 @@
 void ReadPage(Context& context) {
   SweepState& sweep = context.state.sweep;
   sweep.in_flight = true;
-  AskStore(context,
-           StoreRange{.prefix = std::string(kJobPrefix),
-                      .after = sweep.after,
-                      .may_be_stale = true},
-           ForSweep{});
+  SendStoreRequest(context,
+                   StoreRange{.prefix = std::string(kJobPrefix),
+                              .after = sweep.after,
+                              .may_be_stale = true},
+                   ForSweep{});
 }
 
 bool IsLeftOver(const Context& context, const JobRecord& record) {
--- a/Source/engine/records/record_writer.cc
+++ b/Source/engine/records/record_writer.cc
@@ -177,7 +177,8 @@
          TakeAllowance(context)) {
     Batch batch = TakeBatch(context);
     const std::uint64_t id = ++writer.last_batch;
-    AskStore(context, TransactionOf(context, batch), ForBatch{.batch = id});
+    SendStoreRequest(context, TransactionOf(context, batch),
+                     ForBatch{.batch = id});
     writer.in_flight.emplace(id, std::move(batch));
   }
 }
--- a/Source/engine/records/store_calls.cc
+++ b/Source/engine/records/store_calls.cc
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-void AskStore(Context& context,
-              StoreRequest request,
-              StorePurpose purpose,
-              Duration timeout) {
+void SendStoreRequest(Context& context,
+                      StoreRequest request,
+                      StorePurpose purpose,
+                      Duration timeout) {
   StoreState& store = context.state.store;
   const std::uint64_t call = ++store.last_call;
   ++store.total_calls;
--- a/Source/engine/records/store_calls.h
+++ b/Source/engine/records/store_calls.h
@@ -6,10 +6,10 @@
 
 namespace burdockrock::engine {
 
-void AskStore(Context& context,
-              StoreRequest request,
-              StorePurpose purpose,
-              Duration timeout = kStoreTimeout);
+void SendStoreRequest(Context& context,
+                      StoreRequest request,
+                      StorePurpose purpose,
+                      Duration timeout = kStoreTimeout);
 
 // Takes the call's purpose out of the state and notes how the store is.
 // Nothing when the call is not known.
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -174,7 +174,7 @@
 void StartRead(Context& context, WatchedList list, Watch& watch) {
   watch.in_flight = true;
   watch.asked_at = context.now;
-  AskStore(
+  SendStoreRequest(
       context,
       StoreRange{.prefix = PrefixOf(context.state, list), .after = watch.after},
       ForWatch{.list = list});
@@ -183,11 +183,11 @@
 void StartWatch(Context& context, WatchedList list, Watch& watch) {
   watch.in_flight = true;
   watch.asked_at = context.now;
-  AskStore(context,
-           StoreWatch{.prefix = PrefixOf(context.state, list),
-                      .after = watch.revision,
-                      .wait = kWatchWait},
-           ForWatch{.list = list}, kWatchWait + kWatchSlack);
+  SendStoreRequest(context,
+                   StoreWatch{.prefix = PrefixOf(context.state, list),
+                              .after = watch.revision,
+                              .wait = kWatchWait},
+                   ForWatch{.list = list}, kWatchWait + kWatchSlack);
 }
 
 // The history is gone, or the read is stale: what changed meanwhile can only be
@@ -236,7 +236,7 @@
   DriveWatches(context);
 }
 
-void WantMembers(Context& context) {
+void RequestMembers(Context& context) {
   MembersReview& review = context.state.members_review;
   if (review.in_flight ||
       !HasPassed(context.now, review.asked_at, kMembersReview)) {
@@ -244,11 +244,11 @@
   }
   review.in_flight = true;
   review.asked_at = context.now;
-  AskStore(context, StoreRange{.prefix = std::string(kMemberPrefix)},
-           ForMembersReview{});
+  SendStoreRequest(context, StoreRange{.prefix = std::string(kMemberPrefix)},
+                   ForMembersReview{});
 }
 
-void OnMembersReviewed(Context& context, const StoreAnswer& answer) {
+void OnMembersRead(Context& context, const StoreAnswer& answer) {
   MembersReview& review = context.state.members_review;
   review.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
--- a/Source/engine/records/watches.h
+++ b/Source/engine/records/watches.h
@@ -15,8 +15,8 @@
 
 // All lists were read whole at least once.
 // Reads the members now, so that all that registered until now are known.
-void WantMembers(Context& context);
-void OnMembersReviewed(Context& context, const StoreAnswer& answer);
+void RequestMembers(Context& context);
+void OnMembersRead(Context& context, const StoreAnswer& answer);
 
 bool ListsAreRead(const State& state);
 
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -93,9 +93,7 @@
     OnOrphanPage(context, it.prefix, answer);
   }
   void operator()(const ForSweep&) { OnSweepPage(context, answer); }
-  void operator()(const ForMembersReview&) {
-    OnMembersReviewed(context, answer);
-  }
+  void operator()(const ForMembersReview&) { OnMembersRead(context, answer); }
   void operator()(const ForNodes& it) {
     OnNodePage(context, it.forget, answer);
   }
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -119,7 +119,7 @@
       }
       end.told = context.now;
       if (++end.tellings % kTellingsPerRead == 0) {
-        WantRecord(context, JobOf(end.row.task));
+        RequestRecord(context, JobOf(end.row.task));
       }
       const std::string job = JobOf(end.row.task);
       const KnownJob& known = context.state.known[job];
@@ -129,7 +129,7 @@
       }
       const std::string owner = OwnerOfJob(context.state, job);
       if (owner.empty()) {
-        WantRecord(context, job);
+        RequestRecord(context, job);
         continue;
       }
       by_owner[owner].ends.push_back(MakeReport(id, end.row));
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -86,7 +86,7 @@
   for (const std::string& it : review.unsure) {
     context.state.known[it].reviewed = context.now;
     if (FindJob(context.state, it) == nullptr) {
-      WantRecord(context, it);
+      RequestRecord(context, it);
     }
   }
   for (auto& [owner, reports] : review.reports) {
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -60,7 +60,7 @@
   const StoreDocuments& documents = context.state.options.documents;
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.telling = true;
-  AskStore(
+  SendStoreRequest(
       context,
       StoreTransaction{
           .conditions = {{.key = MemberKey(context.self()),
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -34,10 +34,10 @@
   if (job != context.state.jobs.end()) {
     DescribeRuns(context, name.job, job->second.spec);
   } else {
-    WantSpec(context, name.job);
+    RequestSpec(context, name.job);
   }
   context.state.known[name.job].heard = context.now;
-  WantRecord(context, name.job);
+  RequestRecord(context, name.job);
 }
 
 void ApplyRunning(Context& context,
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -273,7 +273,7 @@
         gone.push_back(id);
         continue;
       }
-      WantMembers(context);
+      RequestMembers(context);
     }
     if (!worker.hold_in_flight && context.now >= worker.hold_at) {
       SendHold(context, id, worker);
@@ -426,7 +426,7 @@
                   .fence = worker.fence,
                   .version = worker.version,
                   .free = FreeRoom(worker),
-                  .yielding = YieldingRoom(worker),
+                  .yielding = PreemptibleRoom(worker),
                   .accepting = Accepts(context, worker),
                   .slowness = worker.speed.slowness(),
                   .heard = context.now};
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -344,7 +344,7 @@
   for (const std::string& it : expired) {
     RemoveRun(context, id, worker, it);
   }
-  DriveAwaiting(context, id, worker);
+  DriveRunsAwaitingRoom(context, id, worker);
 }
 
 void SendAnswers(Context& context,
--- a/Source/runtime/engine_dump.cc
+++ b/Source/runtime/engine_dump.cc
@@ -105,7 +105,7 @@
 
 void SetStops(Metrics& metrics,
               const std::string& side,
-              const engine::OpenKind& stops) {
+              const engine::OpenItems& stops) {
   const Labels labels = {{.name = "side", .value = side}};
   metrics.Set(kOpenStops, labels, static_cast<double>(stops.count));
   metrics.Set(kOldestStopSeconds, labels, InSeconds(stops.oldest));
