--- a/Source/engine/jobs/gang_bookings.h
+++ b/Source/engine/jobs/gang_bookings.h
@@ -9,7 +9,7 @@
 
 // If a gang member's start was not commanded in time, cancels its booking and
 // makes it wait for room again.
-void GiveUpBooking(Context& context,
+void ExpireBooking(Context& context,
                    Job& job,
                    const TaskName& name,
                    Task& task);
--- a/Source/engine/jobs/job.h
+++ b/Source/engine/jobs/job.h
@@ -36,7 +36,7 @@
   bool stopping = false;         // a stop command was sent
   Time stop_sent = Time::min();  // the last stop command
   Time stopping_since{0};        // the first stop command
-  Time heard{0};  // last update on the run, from its worker's owner
+  Time last_update{0};  // last update on the run, from its worker's owner
 };
 
 // One task of a step and its current run.
@@ -47,10 +47,10 @@
   std::uint32_t failures = 0;            // runs that ended failed
   std::string worker{};                  // of the run; empty: none
   std::string checkpoint{};              // where the next run resumes
-  std::string avoid{};    // the worker where a run last failed or stalled
+  std::string avoid_worker{};    // the worker where a run last failed or stalled
   Time since{0};          // when it entered its phase
-  Time heard{0};          // last update on its run
-  Time queried{0};        // last query for its run to the worker's owner
+  Time last_update{0};          // last update on its run
+  Time last_query{0};        // last query for its run to the worker's owner
   Time retry_at{0};       // not placed before this
   bool booked = false;    // of a gang: the worker has reserved room for it
   bool stopping = false;  // a stop command was sent
@@ -74,20 +74,20 @@
   std::uint32_t done = 0;                       // tasks
   std::map<std::string, StepTicket> tickets{};  // by worker
   std::set<std::string> denied{};               // workers that advice ruled out
-  Time asked_at = Time::min();   // last check whether to request advice
-  Time called_at = Time::min();  // last advice request
-  bool asking = false;           // an advice request is pending
-  bool unanswered = false;       // the last advice request got no answer
-  std::uint32_t declines = 0;    // consecutive, of the last advice request
+  Time advice_checked_at = Time::min();  // last check whether to request advice
+  Time advice_called_at = Time::min();   // last advice request
+  bool advice_pending = false;           // an advice request is pending
+  bool advice_unanswered = false;       // the last advice request got no answer
+  std::uint32_t advice_declines = 0;    // consecutive, of the last advice request
   // Times for the log, which shows what the step waited for. kForever: not yet.
   Time ready_at = kForever;    // all that it depends on was done
   Time advised_at = kForever;  // first tickets
   Time first_start = kForever;
   Time last_start = kForever;
   Time done_at = kForever;
-  std::uint64_t gang_run = 0;         // the run number that all members share
-  std::uint64_t gang_failed_run = 0;  // the last run counted as a failure
-  std::uint64_t gang_started = 0;     // the last run with a start command
+  std::uint64_t gang_run = 0;          // the run number that all members share
+  std::uint64_t gang_failed_run = 0;   // the last run counted as a failure
+  std::uint64_t gang_started_run = 0;  // the last run with a start command
 };
 
 // One execution of a repeated job; a job that is not repeated has one.
@@ -107,10 +107,10 @@
 
 // Waits for a reply about a job: a caller of this instance, or of another one
 // that forwarded the query.
-struct Asker {
+struct PendingCaller {
   std::string member{};  // the forwarding instance; empty: this one
   std::uint64_t call = 0;
-  Time until = kForever;  // gets a reply then at the latest, with what is known
+  Time reply_by = kForever;  // gets a reply then at the latest, with what is known
 };
 
 // A job that this instance owns.
@@ -137,17 +137,18 @@
   // False after the registration was lost: another instance may have adopted
   // the job; the next write to the store shows whether one has.
   bool verified = true;
-  std::vector<UnstoredEnd> unstored{};
+  std::vector<UnstoredEnd> unstored_ends{};
   bool recovering = false;  // adopted; not all of its runs are known yet
-  WorkerSet uncovered{};    // workers whose runs were not reported yet
-  std::set<std::string> unheard{};  // members that have not replied yet
-  bool asked = false;               // the members were queried at least once
+  WorkerSet unreported_workers{};    // workers whose runs were not reported yet
+  std::set<std::string>
+      awaited_members{};  // members that have not replied yet
+  bool members_queried = false;               // the members were queried at least once
   // Callers that wait until its creation or its cancel is stored.
-  std::vector<std::uint64_t> submitters{};
-  std::vector<Asker> cancellers{};
+  std::vector<std::uint64_t> submit_waiters{};
+  std::vector<PendingCaller> cancel_waiters{};
   // Queried the state while a report of the job's end may be in flight.
-  std::vector<Asker> watchers{};
-  bool cancel_wanted = false;  // before its creation was stored
+  std::vector<PendingCaller> status_waiters{};
+  bool cancel_requested = false;  // before its creation was stored
   Time ended_at = kForever;
   std::int64_t ended_ms = 0;  // wall time since 1970
 };
--- a/Source/engine/jobs/job_progress.h
+++ b/Source/engine/jobs/job_progress.h
@@ -35,7 +35,7 @@
 // jobs. No task of them is started until a write to the store has confirmed the
 // ownership. Otherwise an instance that was cut off for a while would start
 // tasks again whose end their new owner has already received.
-void DoubtOwnership(Context& context);
+void MarkOwnershipUnverified(Context& context);
 
 // Drops a job that another instance owns now, or that has no record any more.
 void DropJob(Context& context, const std::string& id, const char* cause);
--- a/Source/engine/jobs/open_work.h
+++ b/Source/engine/jobs/open_work.h
@@ -12,21 +12,21 @@
 namespace burdockrock::engine {
 
 // Number of open items of one kind and the age of the oldest.
-struct OpenKind {
+struct OpenItems {
   std::size_t count = 0;
   Duration oldest{0};
 
-  auto operator<=>(const OpenKind&) const = default;
+  auto operator<=>(const OpenItems&) const = default;
 };
 
 // The kinds of open work.
 struct OpenWork {
-  OpenKind recoveries{};  // own jobs whose runs are not all known yet
-  OpenKind claims{};      // own workers that have not answered the claim
+  OpenItems recoveries{};  // own jobs whose runs are not all known yet
+  OpenItems claims{};      // own workers that have not answered the claim
   // Runs of own jobs with a stop command that are not known to have ended.
-  OpenKind stops_of_jobs{};
+  OpenItems stops_of_jobs{};
   // The same for runs on own workers.
-  OpenKind stops_at_workers{};
+  OpenItems stops_at_workers{};
 
   auto operator<=>(const OpenWork&) const = default;
 };
--- a/Source/engine/jobs/placement_rule.h
+++ b/Source/engine/jobs/placement_rule.h
@@ -18,12 +18,12 @@
 struct Candidate {
   const WorkerInfo* worker = nullptr;
   Resources free{};
-  Resources yielding{};  // what preemption could release
+  Resources preemptible{};  // what preemption could release
   bool own_domain = false;
   // 1 if this instance owns the worker. Lower, down to 0, for workers of other
   // owners: a hash of instance and worker, so that each instance has a fixed
   // order of its own.
-  double liking = 0;
+  double preference = 0;
   double slowness = 1;  // relative to the mean of the service's workers
 };
 
@@ -34,9 +34,9 @@
   // Weight of a worker's speed in the cost; 0: none.
   double speed_weight = 0;
   // Share of the worker's processors that is kept free for higher priorities.
-  double reserve = 0;
-  std::string avoid{};  // worker to use only if there is no other
-  std::string rack{};   // the only rack allowed; empty: any
+  double reserved_share = 0;
+  std::string avoid_worker{};  // worker to use only if there is no other
+  std::string rack{};          // the only rack allowed; empty: any
 };
 
 // Weight of a worker's speed for a queue whose objective is `stretch` times the
--- a/Source/engine/jobs/preemption.h
+++ b/Source/engine/jobs/preemption.h
@@ -11,7 +11,7 @@
 
 // Room of the runs that can be preempted at little cost: they checkpoint, so
 // that a stop discards no work, and nothing else depends on them.
-Resources YieldingRoom(const OwnedWorker& worker);
+Resources PreemptibleRoom(const OwnedWorker& worker);
 
 // Stops as many runs as it takes to make `room` free. False, with nothing
 // stopped, if all of them would not suffice.
@@ -22,9 +22,9 @@
 
 // Starts runs that wait for room once it is free: a run that is being stopped
 // keeps its room until it ends. Refuses those that have waited too long.
-void DriveAwaiting(Context& context,
-                   const std::string& id,
-                   OwnedWorker& worker);
+void DriveRunsAwaitingRoom(Context& context,
+                           const std::string& id,
+                           OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/jobs/step_waits.h
+++ b/Source/engine/jobs/step_waits.h
@@ -31,7 +31,7 @@
   std::size_t ticketed = 0;  // of these, on workers with a valid ticket
   std::size_t tickets = 0;   // valid tickets
   std::size_t denied = 0;    // workers that advice has ruled out
-  Duration asked{0};         // since advice was last considered; 0: never
+  Duration since_advice_check{0};  // since advice was last considered; 0: never
 };
 
 // When the longest waiting task of the step began to wait; kForever: none
--- a/Source/engine/jobs/task_copies.h
+++ b/Source/engine/jobs/task_copies.h
@@ -14,7 +14,7 @@
 
 // Requests a copy of a task whose run may not end soon; it is placed when there
 // is room.
-void WantCopy(Context& context, const StepSpec& spec, Task& task);
+void RequestCopy(Context& context, const StepSpec& spec, Task& task);
 
 // Whether the task has a requested copy that is not placed yet.
 bool WaitsForCopy(const Task& task);
@@ -32,11 +32,11 @@
 
 // Called when `done_run` has completed the task: stops the other run, if any,
 // and keeps it as the copy until its end is known.
-void StopOther(Context& context,
-               const Job& job,
-               const TaskName& name,
-               Task& task,
-               std::uint64_t done_run);
+void StopOtherRun(Context& context,
+                  const Job& job,
+                  const TaskName& name,
+                  Task& task,
+                  std::uint64_t done_run);
 
 // Stops the copy, if any.
 void StopCopy(Context& context,
--- a/Source/engine/records/catalog.h
+++ b/Source/engine/records/catalog.h
@@ -11,7 +11,7 @@
 
 // Requests a read of the job's record, which starts at once unless a read is in
 // flight or began a moment ago.
-void WantRecord(Context& context, const std::string& job);
+void RequestRecord(Context& context, const std::string& job);
 
 // Records the owner of a job. Queries of an owner that is new here are answered
 // only with what is established after its first query.
@@ -20,7 +20,7 @@
                std::uint64_t generation);
 
 // Requests a read of the job's spec, unless it is cached.
-void WantSpec(Context& context, const std::string& job);
+void RequestSpec(Context& context, const std::string& job);
 
 // Starts the requested reads, up to the limit of reads in flight.
 void DriveCatalog(Context& context);
--- a/Source/engine/records/store_calls.h
+++ b/Source/engine/records/store_calls.h
@@ -7,10 +7,10 @@
 namespace burdockrock::engine {
 
 // Sends a request. Its answer is dispatched by `purpose`.
-void AskStore(Context& context,
-              StoreRequest request,
-              StorePurpose purpose,
-              Duration timeout = kStoreTimeout);
+void SendStoreRequest(Context& context,
+                      StoreRequest request,
+                      StorePurpose purpose,
+                      Duration timeout = kStoreTimeout);
 
 // Removes the call from the state, records whether the store answered, and
 // returns the call's purpose; nullopt for an unknown call.
--- a/Source/engine/records/watches.h
+++ b/Source/engine/records/watches.h
@@ -17,8 +17,8 @@
 
 // Reads the members beside their watch, so that all that have registered until
 // now are known.
-void WantMembers(Context& context);
-void OnMembersReviewed(Context& context, const StoreAnswer& answer);
+void RequestMembers(Context& context);
+void OnMembersRead(Context& context, const StoreAnswer& answer);
 
 // Whether all lists were read completely at least once.
 bool ListsAreRead(const State& state);
