--- a/Source/engine/jobs/candidates.cc
+++ b/Source/engine/jobs/candidates.cc
@@ -9,24 +9,24 @@
 namespace {
 
 // Upper bound of the preference for another owner's worker.
-constexpr double kMostForeign = 0.5;
+constexpr double kMaxForeignPreference = 0.5;
 
-double LikingOf(const Context& context,
-                const std::string& worker,
-                const std::string& owner) {
+double PreferenceFor(const Context& context,
+                     const std::string& worker,
+                     const std::string& owner) {
   if (owner == context.self()) {
     return 1;
   }
   const XXH64_hash_t seed =
       XXH64(context.self().data(), context.self().size(), 0);
   const XXH64_hash_t hash = XXH64(worker.data(), worker.size(), seed);
-  return kMostForeign * static_cast<double>(hash >> 11U) / 0x1p53;
+  return kMaxForeignPreference * static_cast<double>(hash >> 11U) / 0x1p53;
 }
 
 // Scales slowness to a mean of 1. Estimates are wrong by a similar factor for
 // all workers, so only differences between workers count. A worker without data
 // counts as average.
-void RelateSlowness(std::vector<Candidate>& candidates) {
+void NormalizeSlowness(std::vector<Candidate>& candidates) {
   double sum = 0;
   double n = 0;
   for (const Candidate& it : candidates) {
@@ -79,11 +79,11 @@
            .free = view->free,
            .preemptible = view->yielding,
            .own_domain = listed.info.domain == state.options.self.domain,
-           .preference = LikingOf(context, id, view->owner),
+           .preference = PreferenceFor(context, id, view->owner),
            .slowness = static_cast<double>(view->slowness)});
     }
   }
-  RelateSlowness(candidates);
+  NormalizeSlowness(candidates);
   return candidates;
 }
 
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -13,7 +13,7 @@
 
 // Treats all workers of an owner that did not answer as not accepting until it
 // answers, because they would be chosen again at once.
-void DoubtOwnerOf(Context& context, const std::string& worker) {
+void CloseWorkersOfOwner(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view == context.state.view.end() || view->second.owner.empty() ||
       view->second.owner == context.self()) {
@@ -51,7 +51,7 @@
     return;
   }
   if (!task.booked) {
-    DoubtOwnerOf(context, task.worker);
+    CloseWorkersOfOwner(context, task.worker);
   }
   SendStop(context, job, name, task.worker, task.run);
   Requeue(context, task, Duration(0));
--- a/Source/engine/jobs/job.h
+++ b/Source/engine/jobs/job.h
@@ -47,13 +47,13 @@
   std::uint32_t failures = 0;            // runs that ended failed
   std::string worker{};                  // of the run; empty: none
   std::string checkpoint{};              // where the next run resumes
-  std::string avoid_worker{};    // the worker where a run last failed or stalled
-  Time since{0};          // when it entered its phase
-  Time last_update{0};          // last update on its run
-  Time last_query{0};        // last query for its run to the worker's owner
-  Time retry_at{0};       // not placed before this
-  bool booked = false;    // of a gang: the worker has reserved room for it
-  bool stopping = false;  // a stop command was sent
+  std::string avoid_worker{};  // the worker where a run last failed or stalled
+  Time since{0};               // when it entered its phase
+  Time last_update{0};         // last update on its run
+  Time last_query{0};          // last query for its run to the worker's owner
+  Time retry_at{0};            // not placed before this
+  bool booked = false;         // of a gang: the worker has reserved room for it
+  bool stopping = false;       // a stop command was sent
   Time stop_sent = Time::min();  // the last stop command
   Time stopping_since{0};        // the first stop command
   std::optional<TaskCopy> copy{};
@@ -77,8 +77,8 @@
   Time advice_checked_at = Time::min();  // last check whether to request advice
   Time advice_called_at = Time::min();   // last advice request
   bool advice_pending = false;           // an advice request is pending
-  bool advice_unanswered = false;       // the last advice request got no answer
-  std::uint32_t advice_declines = 0;    // consecutive, of the last advice request
+  bool advice_unanswered = false;     // the last advice request got no answer
+  std::uint32_t advice_declines = 0;  // consecutive, of the last advice request
   // Times for the log, which shows what the step waited for. kForever: not yet.
   Time ready_at = kForever;    // all that it depends on was done
   Time advised_at = kForever;  // first tickets
@@ -110,7 +110,7 @@
 struct PendingCaller {
   std::string member{};  // the forwarding instance; empty: this one
   std::uint64_t call = 0;
-  Time reply_by = kForever;  // gets a reply then at the latest, with what is known
+  Time reply_by = kForever;  // replies then with what is known, if not before
 };
 
 // A job that this instance owns.
@@ -138,11 +138,10 @@
   // the job; the next write to the store shows whether one has.
   bool verified = true;
   std::vector<UnstoredEnd> unstored_ends{};
-  bool recovering = false;  // adopted; not all of its runs are known yet
-  WorkerSet unreported_workers{};    // workers whose runs were not reported yet
-  std::set<std::string>
-      awaited_members{};  // members that have not replied yet
-  bool members_queried = false;               // the members were queried at least once
+  bool recovering = false;         // adopted; not all of its runs are known yet
+  WorkerSet unreported_workers{};  // workers whose runs were not reported yet
+  std::set<std::string> awaited_members{};  // members that have not replied yet
+  bool members_queried = false;  // the members were queried at least once
   // Callers that wait until its creation or its cancel is stored.
   std::vector<std::uint64_t> submit_waiters{};
   std::vector<PendingCaller> cancel_waiters{};
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -16,7 +16,8 @@
 
 namespace {
 
-bool IsOut(const Task& task) {
+// Whether a run of the task is offered to a worker or running there.
+bool IsPlaced(const Task& task) {
   return task.phase == TaskPhase::kOffered || task.phase == TaskPhase::kRunning;
 }
 
@@ -44,7 +45,7 @@
 constexpr std::size_t kEndedRunsKept = 16;
 
 // A task with the job and step that it belongs to.
-struct Place {
+struct TaskRef {
   Job& job;
   StepRun& step;
   Task& task;
@@ -52,7 +53,7 @@
   const StepSpec& spec;
 };
 
-std::optional<Place> Find(Context& context, const std::string& task) {
+std::optional<TaskRef> FindTaskRef(Context& context, const std::string& task) {
   const auto name = ParseTaskName(task);
   if (!name) {
     return std::nullopt;
@@ -62,50 +63,50 @@
   if (found == nullptr) {
     return std::nullopt;
   }
-  return Place{.job = *job,
-               .step = StepAt(*job, name->occurrence, name->step),
-               .task = *found,
-               .name = *name,
-               .spec = job->spec.steps[name->step]};
+  return TaskRef{.job = *job,
+                 .step = StepAt(*job, name->occurrence, name->step),
+                 .task = *found,
+                 .name = *name,
+                 .spec = job->spec.steps[name->step]};
 }
 
 // Stops all members of a gang after one of them ended or was refused: their
 // room and runs are released, and the gang starts again as a whole.
-void BreakGang(Context& context, const Place& place) {
-  StepRun& step = place.step;
+void StopGang(Context& context, const TaskRef& ref) {
+  StepRun& step = ref.step;
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
-    TaskName name = place.name;
+    TaskName name = ref.name;
     name.index = it;
-    StopTask(context, place.job, name, step.tasks[it]);
+    StopTask(context, ref.job, name, step.tasks[it]);
   }
 }
 
 // Whether the known state of the worker does not explain its refusal, so that
 // it would be chosen again at once.
 bool LooksFree(const Context& context,
-               const Place& place,
+               const TaskRef& ref,
                const std::string& worker) {
   const auto view = context.state.view.find(worker);
   return view != context.state.view.end() && view->second.accepting &&
-         Fits(RoomOf(place.spec), view->second.free);
+         Fits(RoomOf(ref.spec), view->second.free);
 }
 
 Duration PauseAfter(Context& context,
-                    const Place& place,
+                    const TaskRef& ref,
                     const OfferAnswer& answer) {
   if (answer.outcome == OfferOutcome::kOldRun ||
       answer.outcome == OfferOutcome::kOldOwner) {
     return kOfferRepeat;  // the end of a run as high or higher may be in flight
   }
-  return LooksFree(context, place, answer.worker) ? kRefusedPause : Duration(0);
+  return LooksFree(context, ref, answer.worker) ? kRefusedPause : Duration(0);
 }
 
 void OnRefused(Context& context,
-               const Place& place,
+               const TaskRef& ref,
                const OfferAnswer& answer) {
   ++context.state.totals.offers_refused;
   if (answer.outcome == OfferOutcome::kBadTicket) {
-    place.step.tickets.erase(answer.worker);
+    ref.step.tickets.erase(answer.worker);
   }
   if (answer.outcome == OfferOutcome::kInvalid) {
     context.Log(EventNumber::kStartRefused,
@@ -114,41 +115,41 @@
                  {"cause", OfferOutcomeName(answer.outcome)}});
   }
   if (answer.outcome == OfferOutcome::kOldOwner &&
-      place.job.version == place.job.stored_version) {
-    MarkChanged(context, place.job, true);  // the write shows who owns the job
+      ref.job.version == ref.job.stored_version) {
+    MarkChanged(context, ref.job, true);  // the write shows who owns the job
   }
-  Requeue(context, place.task, PauseAfter(context, place, answer));
-  if (place.spec.gang) {
-    BreakGang(context, place);
+  Requeue(context, ref.task, PauseAfter(context, ref, answer));
+  if (ref.spec.gang) {
+    StopGang(context, ref);
   }
 }
 
-void MarkDone(Context& context, const Place& place, std::uint64_t run) {
-  StepRun& step = place.step;
+void MarkDone(Context& context, const TaskRef& ref, std::uint64_t run) {
+  StepRun& step = ref.step;
   const auto finish = [&](Task& task, std::uint32_t index) {
     if (task.phase == TaskPhase::kDone) {
       return;
     }
-    TaskName name = place.name;
+    TaskName name = ref.name;
     name.index = index;
     // A stop of the run that has just ended would only cause another report of
     // its end.
-    const bool over = index == place.name.index && task.run == run;
+    const bool over = index == ref.name.index && task.run == run;
     if (task.copy) {
-      StopOtherRun(context, place.job, name, task, run);
+      StopOtherRun(context, ref.job, name, task, run);
     } else if (!over) {
-      StopTask(context, place.job, name, task);
+      StopTask(context, ref.job, name, task);
     }
     task.phase = TaskPhase::kDone;
     task.since = context.now;
     ++step.done;
   };
-  if (place.spec.gang) {
+  if (ref.spec.gang) {
     for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
       finish(step.tasks[it], it);
     }
   } else {
-    finish(place.task, place.name.index);
+    finish(ref.task, ref.name.index);
   }
   if (step.done == step.tasks.size()) {
     step.done_at = context.now;
@@ -157,48 +158,48 @@
 }
 
 // The run exists but makes no progress.
-void OnStill(Context& context, const Place& place) {
-  place.task.last_update = context.now;
-  if (place.spec.concurrent) {
-    return RequestCopy(context, place.spec, place.task);
+void OnStalled(Context& context, const TaskRef& ref) {
+  ref.task.last_update = context.now;
+  if (ref.spec.concurrent) {
+    return RequestCopy(context, ref.spec, ref.task);
   }
-  if (!place.task.stopping) {
-    place.task.avoid_worker = place.task.worker;
-    StopTask(context, place.job, place.name, place.task);
+  if (!ref.task.stopping) {
+    ref.task.avoid_worker = ref.task.worker;
+    StopTask(context, ref.job, ref.name, ref.task);
   }
 }
 
 // Limits disruption of lasting tasks, which serve requests: at most `may_miss`
 // of a step, or one if that is 0, may be down at once.
-bool MayTakeAway(const Context& context, const Place& place) {
-  if (!place.spec.lasting) {
+bool MayDisrupt(const Context& context, const TaskRef& ref) {
+  if (!ref.spec.lasting) {
     return true;
   }
   const Duration settle = context.state.options.bounds.settle_time;
-  std::uint32_t away = 0;
-  for (const Task& it : place.step.tasks) {
-    const bool at_work = it.phase == TaskPhase::kRunning && !it.stopping &&
+  std::uint32_t down = 0;
+  for (const Task& it : ref.step.tasks) {
+    const bool serving = it.phase == TaskPhase::kRunning && !it.stopping &&
                          HasPassed(context.now, it.since, settle);
-    away += at_work ? 0 : 1;
+    down += serving ? 0 : 1;
   }
-  return away < std::max(place.spec.may_miss, 1U);
+  return down < std::max(ref.spec.may_miss, 1U);
 }
 
 // The run's worker is being drained.
-void OnUnwanted(Context& context, const Place& place) {
-  place.task.last_update = context.now;
-  if (!place.task.stopping && MayTakeAway(context, place)) {
-    place.task.avoid_worker = place.task.worker;
-    StopTask(context, place.job, place.name, place.task);
+void OnUnwanted(Context& context, const TaskRef& ref) {
+  ref.task.last_update = context.now;
+  if (!ref.task.stopping && MayDisrupt(context, ref)) {
+    ref.task.avoid_worker = ref.task.worker;
+    StopTask(context, ref.job, ref.name, ref.task);
   }
 }
 
 // Counts a failed run; a gang's run once, however many members report it.
-std::uint32_t CountFailure(const Place& place, std::uint64_t run) {
-  if (!place.spec.gang) {
-    return ++place.task.failures;
+std::uint32_t CountFailure(const TaskRef& ref, std::uint64_t run) {
+  if (!ref.spec.gang) {
+    return ++ref.task.failures;
   }
-  StepRun& step = place.step;
+  StepRun& step = ref.step;
   Task& first = step.tasks.front();
   if (step.gang_failed_run < run) {
     step.gang_failed_run = run;
@@ -207,66 +208,66 @@
   return first.failures;
 }
 
-void OnFailed(Context& context, const Place& place, const EndReport& report) {
-  const std::uint32_t failures = CountFailure(place, report.run);
-  place.task.avoid_worker = report.worker;
+void OnFailed(Context& context, const TaskRef& ref, const EndReport& report) {
+  const std::uint32_t failures = CountFailure(ref, report.run);
+  ref.task.avoid_worker = report.worker;
   const QueuePolicy* queue =
-      FindQueueByName(context.state.configuration, place.job.queue);
-  const bool last = queue != nullptr && !place.spec.lasting &&
-                    failures >= queue->max_attempts;
+      FindQueueByName(context.state.configuration, ref.job.queue);
+  const bool last =
+      queue != nullptr && !ref.spec.lasting && failures >= queue->max_attempts;
   if (last) {
-    EndJob(context, place.job, JobState::kFailed, "attempts used up");
+    EndJob(context, ref.job, JobState::kFailed, "attempts used up");
   }
 }
 
-void CountEnd(Context& context, const Place& place, const EndReport& report) {
-  std::set<std::uint64_t>& ended = place.task.ended_runs;
+void CountEnd(Context& context, const TaskRef& ref, const EndReport& report) {
+  std::set<std::uint64_t>& ended = ref.task.ended_runs;
   if (ended.size() > kEndedRunsKept) {
     ended.erase(ended.begin());
   }
   if (report.how == RunEnd::kFailed) {
-    OnFailed(context, place, report);
+    OnFailed(context, ref, report);
   }
-  MarkChanged(context, place.job, false);
+  MarkChanged(context, ref.job, false);
 }
 
 void ApplyNewEnd(Context& context,
-                 const Place& place,
+                 const TaskRef& ref,
                  const EndReport& report) {
-  Task& task = place.task;
-  MarkStarted(context, place.job);
+  Task& task = ref.task;
+  MarkStarted(context, ref.job);
   if (!report.checkpoint.empty()) {
     task.checkpoint = report.checkpoint;
   }
-  const bool lasts = place.spec.lasting;
-  if (report.how == RunEnd::kDone && !lasts) {
-    MarkDone(context, place, report.run);
-    MarkChanged(context, place.job, false);
-    CompleteIfDone(context, place.job);
+  const bool lasting = ref.spec.lasting;
+  if (report.how == RunEnd::kDone && !lasting) {
+    MarkDone(context, ref, report.run);
+    MarkChanged(context, ref.job, false);
+    CompleteIfDone(context, ref.job);
     return;
   }
   // An end that was counted before an adoption must still release its task: the
   // run may have been reported by a former owner of the worker.
   if (task.ended_runs.insert(report.run).second) {
-    CountEnd(context, place, report);
+    CountEnd(context, ref, report);
   }
   if (IsCopy(task, report.run)) {
     return OnCopyReport(context, task, RunState::kAbsent);
   }
-  if (report.run == task.run && IsOut(task) && !PromoteCopy(context, task)) {
+  if (report.run == task.run && IsPlaced(task) && !PromoteCopy(context, task)) {
     Requeue(context, task, kFailedPause);
-    if (place.spec.gang) {
-      BreakGang(context, place);
+    if (ref.spec.gang) {
+      StopGang(context, ref);
     }
   }
 }
 
 // If a task had two runs when its job was adopted, keeps the one reported
 // second as the copy. False if the report is of no such run.
-bool AdoptCopy(Context& context, const Place& place, const RunReport& report) {
-  Task& task = place.task;
-  const bool second = place.job.recovering && place.spec.concurrent &&
-                      IsOut(task) && !task.copy && report.run != task.run &&
+bool AdoptCopy(Context& context, const TaskRef& ref, const RunReport& report) {
+  Task& task = ref.task;
+  const bool second = ref.job.recovering && ref.spec.concurrent &&
+                      IsPlaced(task) && !task.copy && report.run != task.run &&
                       report.state != RunState::kAbsent;
   if (second) {
     task.copy = TaskCopy{.run = report.run,
@@ -280,9 +281,9 @@
 // A run that is no longer needed: the job has ended, the task is done, or a
 // later run of it was placed. It has to be stopped here, because no one else
 // would stop it and the end of the job stops only the runs that it knows.
-bool IsStray(const Place& place, const RunReport& report) {
-  const Task& task = place.task;
-  const bool is_known = IsOut(task) && report.run == task.run;
+bool IsStray(const TaskRef& ref, const RunReport& report) {
+  const Task& task = ref.task;
+  const bool is_known = IsPlaced(task) && report.run == task.run;
   if (report.state == RunState::kAbsent || is_known) {
     return false;
   }
@@ -292,23 +293,23 @@
   if (task.phase == TaskPhase::kUnknown) {
     return false;
   }
-  return IsFinal(place.job.state) || (IsOut(task) && report.run < task.run);
+  return IsFinal(ref.job.state) || (IsPlaced(task) && report.run < task.run);
 }
 
 void CheckTask(Context& context,
                const TaskName& name,
                Task& task,
                std::map<std::string, RunQueries>& queries) {
-  const Duration patience =
+  const Duration timeout =
       task.phase == TaskPhase::kOffered ? kOfferRepeat : kRunCheck;
   // The worker's owner has to be queried even if it reports the run on its own:
   // it treats a run that is never queried as abandoned.
-  const bool due = HasPassed(context.now, task.last_update, patience) ||
+  const bool due = HasPassed(context.now, task.last_update, timeout) ||
                    HasPassed(context.now, task.last_query, kRunCheck);
-  if (!IsOut(task) || task.stopping || !due) {
+  if (!IsPlaced(task) || task.stopping || !due) {
     return;
   }
-  task.last_update = context.now - patience + kOfferRepeat;
+  task.last_update = context.now - timeout + kOfferRepeat;
   task.last_query = context.now;
   const std::string owner = OwnerOfWorker(context, task.worker);
   if (!owner.empty()) {
@@ -328,7 +329,7 @@
 void DriveStops(Context& context, Job& job) {
   const bool ended = IsFinal(job.state);
   ForEachTask(job, [&](const TaskName& name, Task& task) {
-    if (ended && IsOut(task) && !task.stopping) {
+    if (ended && IsPlaced(task) && !task.stopping) {
       StopTask(context, job, name, task);
     }
     // The repetition does not depend on the last update: an adopter receives
@@ -348,11 +349,11 @@
       job.recovering || job.stored_version != job.version) {
     return false;
   }
-  bool out = false;
+  bool placed = false;
   ForEachTask(job, [&](const TaskName&, const Task& task) {
-    out = out || IsOut(task) || task.copy;
+    placed = placed || IsPlaced(task) || task.copy;
   });
-  return !out;
+  return !placed;
 }
 
 }  // namespace
@@ -386,27 +387,27 @@
     OnRoom(context, from, it);
   }
   for (const OfferAnswer& it : answers.answers) {
-    const auto place = Find(context, it.task);
-    if (place && IsCopy(place->task, it.run)) {
-      OnCopyAnswer(context, place->task, it.outcome);
+    const auto ref = FindTaskRef(context, it.task);
+    if (ref && IsCopy(ref->task, it.run)) {
+      OnCopyAnswer(context, ref->task, it.outcome);
       continue;
     }
-    if (!place || place->task.run != it.run ||
-        place->task.worker != it.worker || !IsOut(place->task)) {
+    if (!ref || ref->task.run != it.run || ref->task.worker != it.worker ||
+        !IsPlaced(ref->task)) {
       continue;
     }
     if (it.outcome == OfferOutcome::kStarted) {
-      if (place->task.phase == TaskPhase::kOffered) {
+      if (ref->task.phase == TaskPhase::kOffered) {
         context.Emit(NoteSpan{.span = MeasuredSpan::kStart,
-                              .took = context.now - place->task.since});
+                              .took = context.now - ref->task.since});
       }
-      MarkRunning(context, place->job, place->step, place->task);
+      MarkRunning(context, ref->job, ref->step, ref->task);
     } else if (it.outcome == OfferOutcome::kBooked) {
-      place->task.booked = true;
-      place->task.last_update = context.now;
+      ref->task.booked = true;
+      ref->task.last_update = context.now;
       context.state.placement_due = true;
     } else {
-      OnRefused(context, *place, it);
+      OnRefused(context, *ref, it);
     }
   }
 }
@@ -414,21 +415,21 @@
 void OnEndReport(Context& context,
                  const std::string& from,
                  const EndReport& report) {
-  const auto place = Find(context, report.task);
-  if (!place) {
+  const auto ref = FindTaskRef(context, report.task);
+  if (!ref) {
     return;
   }
-  if (place->task.phase == TaskPhase::kDone || IsFinal(place->job.state)) {
+  if (ref->task.phase == TaskPhase::kDone || IsFinal(ref->job.state)) {
     // The result no longer counts, but the run has to be released.
-    if (IsCopy(place->task, report.run)) {
-      OnCopyReport(context, place->task, RunState::kAbsent);
-    } else if (report.run == place->task.run && IsOut(place->task)) {
-      Requeue(context, place->task, Duration(0));
+    if (IsCopy(ref->task, report.run)) {
+      OnCopyReport(context, ref->task, RunState::kAbsent);
+    } else if (report.run == ref->task.run && IsPlaced(ref->task)) {
+      Requeue(context, ref->task, Duration(0));
     }
   } else {
-    ApplyNewEnd(context, *place, report);
+    ApplyNewEnd(context, *ref, report);
   }
-  ConfirmWhenStored(context, place->job, from, report);
+  ConfirmWhenStored(context, ref->job, from, report);
 }
 
 void OnEndReports(Context& context,
@@ -440,41 +441,40 @@
 }
 
 void OnRunReport(Context& context, const RunReport& report) {
-  const auto place = Find(context, report.task);
-  if (place && IsCopy(place->task, report.run)) {
-    return OnCopyReport(context, place->task, report.state);
+  const auto ref = FindTaskRef(context, report.task);
+  if (ref && IsCopy(ref->task, report.run)) {
+    return OnCopyReport(context, ref->task, report.state);
   }
-  if (place && AdoptCopy(context, *place, report)) {
+  if (ref && AdoptCopy(context, *ref, report)) {
     return;
   }
-  if (place && IsStray(*place, report)) {
-    return SendStop(context, place->job, place->name, report.worker,
-                    report.run);
+  if (ref && IsStray(*ref, report)) {
+    return SendStop(context, ref->job, ref->name, report.worker, report.run);
   }
-  if (!place || place->task.phase == TaskPhase::kDone) {
+  if (!ref || ref->task.phase == TaskPhase::kDone) {
     return;
   }
-  Task& task = place->task;
+  Task& task = ref->task;
   if (!report.checkpoint.empty()) {
     task.checkpoint = report.checkpoint;
   }
   const bool adopted = task.phase == TaskPhase::kUnknown ||
-                       (place->job.recovering && report.run > task.run);
+                       (ref->job.recovering && report.run > task.run);
   if (adopted && report.state != RunState::kAbsent) {
-    if (IsOut(task)) {
-      SendStop(context, place->job, place->name, task.worker, task.run);
+    if (IsPlaced(task)) {
+      SendStop(context, ref->job, ref->name, task.worker, task.run);
     }
     task.run = report.run;
     task.worker = report.worker;
     task.phase = TaskPhase::kOffered;
-    place->step.gang_run = std::max(place->step.gang_run, report.run);
+    ref->step.gang_run = std::max(ref->step.gang_run, report.run);
   }
-  if (task.run != report.run || !IsOut(task)) {
+  if (task.run != report.run || !IsPlaced(task)) {
     return;
   }
   switch (report.state) {
     case RunState::kRunning:
-      MarkRunning(context, place->job, place->step, task);
+      MarkRunning(context, ref->job, ref->step, task);
       break;
     case RunState::kPending:
       task.last_update = context.now;
@@ -490,18 +490,18 @@
         break;
       }
       Requeue(context, task, Duration(0));
-      if (place->spec.gang) {
-        BreakGang(context, *place);
+      if (ref->spec.gang) {
+        StopGang(context, *ref);
       }
       break;
     case RunState::kStill:
-      OnStill(context, *place);
+      OnStalled(context, *ref);
       break;
     case RunState::kUnwanted:
-      OnUnwanted(context, *place);
+      OnUnwanted(context, *ref);
       break;
     case RunState::kUnreached:
-      RequestCopy(context, place->spec, task);
+      RequestCopy(context, ref->spec, task);
       break;
   }
 }
@@ -520,7 +520,7 @@
       if (task.copy && task.copy->worker == worker) {
         OnCopyReport(context, task, RunState::kAbsent);
       }
-      if (!IsOut(task) || task.worker != worker) {
+      if (!IsPlaced(task) || task.worker != worker) {
         return;
       }
       context.Log(EventNumber::kAttemptLost, {{"task", ToString(name)},
@@ -532,12 +532,12 @@
       Requeue(context, task, Duration(0));
       const StepSpec& spec = job.spec.steps[name.step];
       if (spec.gang) {
-        BreakGang(context,
-                  Place{.job = job,
-                        .step = StepAt(job, name.occurrence, name.step),
-                        .task = task,
-                        .name = name,
-                        .spec = spec});
+        StopGang(context,
+                 TaskRef{.job = job,
+                         .step = StepAt(job, name.occurrence, name.step),
+                         .task = task,
+                         .name = name,
+                         .spec = spec});
       }
     });
   }
--- a/Source/engine/jobs/placing.cc
+++ b/Source/engine/jobs/placing.cc
@@ -18,7 +18,7 @@
 namespace {
 
 // Interval of placement rounds while nothing has changed.
-constexpr Duration kIdleRound = milliseconds(100);
+constexpr Duration kIdlePlacementInterval = milliseconds(100);
 
 // Share of each worker's processors that a queue leaves free, for each priority
 // above its own, so that short urgent tasks need not wait for long ones to end.
@@ -26,7 +26,7 @@
 
 // Urgent work that has waited this long is about to miss its objective. Earlier
 // preemption costs more than it gains.
-constexpr Duration kPreemptAfter = milliseconds(800);
+constexpr Duration kPreemptionDelay = milliseconds(800);
 
 // State of one placement round.
 struct Round {
@@ -71,37 +71,37 @@
   if (!preempts) {
     return HasRoomNow(need, candidate);
   }
-  Candidate emptied = candidate;
-  emptied.free += candidate.preemptible;
-  return HasRoomNow(need, emptied);
+  Candidate after_preemption = candidate;
+  after_preemption.free += candidate.preemptible;
+  return HasRoomNow(need, after_preemption);
 }
 
 // Workers on which tasks of the step may run and that have room for at least
 // one: during a round, room only shrinks. Room is checked before the ticket
 // because the ticket is looked up by name.
-std::vector<Candidate*> OpenTo(const Context& context,
-                               const ReadyStep& ready,
-                               const PlacementNeed& need,
-                               std::vector<Candidate>& candidates) {
+std::vector<Candidate*> EligibleWorkers(const Context& context,
+                                        const ReadyStep& ready,
+                                        const PlacementNeed& need,
+                                        std::vector<Candidate>& candidates) {
   const bool may_preempt = MayPreempt(context, ready);
-  std::vector<Candidate*> open;
+  std::vector<Candidate*> eligible;
   for (Candidate& it : candidates) {
     const bool has_room =
         HasRoomNow(need, it) || (may_preempt && HasRoom(need, it, true));
     if (has_room && MayRunOn(ready.spec(), *it.worker) &&
         HasTicket(context, ready, it.worker->id)) {
-      open.push_back(&it);
+      eligible.push_back(&it);
     }
   }
-  return open;
+  return eligible;
 }
 
 struct Choice {
   const ReadyStep& ready;
-  std::vector<Candidate*> open;
+  std::vector<Candidate*> eligible;
   // Tasks by worker; filled only if the step limits them.
   std::map<std::string, std::uint32_t> placed{};
-  std::string not_on{};  // worker to exclude; empty: none
+  std::string excluded_worker{};  // empty: none
   bool preempts = false;
 };
 
@@ -109,8 +109,8 @@
   const StepSpec& spec = choice.ready.spec();
   Candidate* best = nullptr;
   double best_cost = 0;
-  for (Candidate* it : choice.open) {
-    if (it->worker->id == choice.not_on ||
+  for (Candidate* it : choice.eligible) {
+    if (it->worker->id == choice.excluded_worker ||
         !HasRoom(need, *it, choice.preempts)) {
       continue;
     }
@@ -189,12 +189,12 @@
                         .checkpoint = attempt.checkpoint});
 }
 
-Attempt FirstOf(const Task& task) {
+Attempt PrimaryAttempt(const Task& task) {
   return {
       .worker = task.worker, .run = task.run, .checkpoint = task.checkpoint};
 }
 
-std::uint64_t LastRun(const Task& task) {
+std::uint64_t HighestRun(const Task& task) {
   return std::max(task.run, task.last_copy);
 }
 
@@ -221,7 +221,7 @@
   return task.phase == TaskPhase::kWaiting && task.retry_at <= context.now;
 }
 
-void PlaceSingles(Round& round, const ReadyStep& ready) {
+void PlaceIndependentTasks(Round& round, const ReadyStep& ready) {
   std::vector<Task>& tasks = ready.run().tasks;
   const bool any_due =
       std::any_of(tasks.begin(), tasks.end(),
@@ -231,10 +231,11 @@
     return;
   }
   PlacementNeed need = NeedOf(ready);
-  Choice choice{.ready = ready,
-                .open = OpenTo(round.context, ready, need,
-                               Candidates(round, ready.queue->service)),
-                .placed = CountPlaced(ready)};
+  Choice choice{
+      .ready = ready,
+      .eligible = EligibleWorkers(round.context, ready, need,
+                                  Candidates(round, ready.queue->service)),
+      .placed = CountPlaced(ready)};
   for (std::uint32_t it = 0; it < tasks.size(); ++it) {
     Task& task = tasks[it];
     if (!IsDue(round.context, task)) {
@@ -251,12 +252,13 @@
       return;  // the other tasks need the same room
     }
     ++choice.placed[best->worker->id];
-    Assign(round, need.room, *best, task, NextRun(*ready.job, LastRun(task)));
+    Assign(round, need.room, *best, task,
+           NextRun(*ready.job, HighestRun(task)));
     if (choice.preempts) {
       best->preemptible -= need.room;
       round.context.state.view[task.worker].yielding -= need.room;
     }
-    AddOffer(round, ready, it, FirstOf(task),
+    AddOffer(round, ready, it, PrimaryAttempt(task),
              choice.preempts ? OfferKind::kPreemption : OfferKind::kStart);
   }
 }
@@ -271,18 +273,19 @@
       continue;
     }
     const PlacementNeed need = NeedOf(ready);
-    const Choice choice{.ready = ready,
-                        .open = OpenTo(round.context, ready, need,
-                                       Candidates(round, ready.queue->service)),
-                        .placed = CountPlaced(ready),
-                        .not_on = task.worker};
+    const Choice choice{
+        .ready = ready,
+        .eligible = EligibleWorkers(round.context, ready, need,
+                                    Candidates(round, ready.queue->service)),
+        .placed = CountPlaced(ready),
+        .excluded_worker = task.worker};
     Candidate* best = Choose(choice, need);
     if (best == nullptr) {
       continue;
     }
     TakeRoom(round, need.room, *best);
     task.copy_wanted = false;
-    task.copy = TaskCopy{.run = NextRun(*ready.job, LastRun(task)),
+    task.copy = TaskCopy{.run = NextRun(*ready.job, HighestRun(task)),
                          .worker = best->worker->id,
                          .last_update = round.context.now};
     AddOffer(round, ready, it,
@@ -293,16 +296,16 @@
   }
 }
 
-bool AllIn(const StepRun& step, TaskPhase phase) {
+bool AllInPhase(const StepRun& step, TaskPhase phase) {
   return std::all_of(step.tasks.begin(), step.tasks.end(),
                      [phase](const Task& it) { return it.phase == phase; });
 }
 
 // Workers for all members, in the order of the tasks; empty if not all fit.
 std::vector<Candidate*> FitGang(const ReadyStep& ready,
-                                const std::vector<Candidate*>& open,
+                                const std::vector<Candidate*>& eligible,
                                 const std::string& rack) {
-  Choice choice{.ready = ready, .open = open};
+  Choice choice{.ready = ready, .eligible = eligible};
   PlacementNeed need = NeedOf(ready);
   need.rack = rack;
   std::vector<Candidate*> chosen;
@@ -327,17 +330,17 @@
 std::vector<Candidate*> FitGangAnywhere(const Round& round,
                                         const ReadyStep& ready,
                                         std::vector<Candidate>& candidates) {
-  const std::vector<Candidate*> open =
-      OpenTo(round.context, ready, NeedOf(ready), candidates);
+  const std::vector<Candidate*> eligible =
+      EligibleWorkers(round.context, ready, NeedOf(ready), candidates);
   if (!ready.spec().same_rack) {
-    return FitGang(ready, open, {});
+    return FitGang(ready, eligible, {});
   }
   std::set<std::string> racks;
-  for (const Candidate* it : open) {
+  for (const Candidate* it : eligible) {
     racks.insert(it->worker->rack());
   }
   for (const std::string& it : racks) {
-    auto chosen = FitGang(ready, open, it);
+    auto chosen = FitGang(ready, eligible, it);
     if (!chosen.empty()) {
       return chosen;
     }
@@ -374,7 +377,8 @@
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
     step.tasks[it].checkpoint = checkpoint;
     Assign(round, room, *chosen[it], step.tasks[it], step.gang_run);
-    AddOffer(round, ready, it, FirstOf(step.tasks[it]), OfferKind::kBooking);
+    AddOffer(round, ready, it, PrimaryAttempt(step.tasks[it]),
+             OfferKind::kBooking);
   }
 }
 
@@ -395,14 +399,15 @@
                      {"tasks", std::to_string(step.tasks.size())}});
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
     step.tasks[it].last_update = round.context.now;
-    AddOffer(round, ready, it, FirstOf(step.tasks[it]), OfferKind::kStart);
+    AddOffer(round, ready, it, PrimaryAttempt(step.tasks[it]),
+             OfferKind::kStart);
   }
 }
 
 void PlaceGang(Round& round, const ReadyStep& ready) {
-  if (AllIn(ready.run(), TaskPhase::kWaiting)) {
+  if (AllInPhase(ready.run(), TaskPhase::kWaiting)) {
     BookGang(round, ready);
-  } else if (AllIn(ready.run(), TaskPhase::kOffered)) {
+  } else if (AllInPhase(ready.run(), TaskPhase::kOffered)) {
     StartGang(round, ready);
   }
 }
@@ -502,7 +507,7 @@
 
 bool MayPreempt(const Context& context, const ReadyStep& ready) {
   return ready.queue->priority == 0 && ready.run().ready_at != kForever &&
-         HasPassed(context.now, ready.run().ready_at, kPreemptAfter);
+         HasPassed(context.now, ready.run().ready_at, kPreemptionDelay);
 }
 
 PlacementNeed NeedOf(const ReadyStep& ready) {
@@ -533,7 +538,7 @@
 
 void DrivePlacement(Context& context) {
   const Duration pause =
-      context.state.placement_due ? kPlacementInterval : kIdleRound;
+      context.state.placement_due ? kPlacementInterval : kIdlePlacementInterval;
   if (!HasPassed(context.now, context.state.placed_at, pause) ||
       !IsRegistered(context.state)) {
     return;
@@ -554,7 +559,7 @@
     if (it.spec().gang) {
       PlaceGang(round, it);
     } else {
-      PlaceSingles(round, it);
+      PlaceIndependentTasks(round, it);
       PlaceCopies(round, it);
     }
   }
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool CanYield(const LocalRun& run) {
+bool IsPreemptible(const LocalRun& run) {
   return run.phase == RunPhase::kRunning && run.described && run.priority > 0 &&
          run.spec.checkpointing && !run.spec.gang && !run.spec.lasting &&
          !run.spec.filling;
@@ -26,7 +26,7 @@
 std::vector<Victim> VictimsOf(OwnedWorker& worker) {
   std::vector<Victim> victims;
   for (auto& [task, run] : worker.runs) {
-    if (CanYield(run)) {
+    if (IsPreemptible(run)) {
       victims.push_back({.task = &task, .run = &run});
     }
   }
@@ -39,7 +39,7 @@
 }
 
 // Room that will be free when all runs that are being stopped have ended.
-Resources FutureRoom(const OwnedWorker& worker) {
+Resources RoomAfterStops(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
     if (run.phase == RunPhase::kStopping) {
@@ -50,7 +50,7 @@
 }
 
 // Room that is free now: runs that wait for room do not use theirs yet.
-Resources PresentRoom(const OwnedWorker& worker) {
+Resources CurrentRoom(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
     if (run.phase == RunPhase::kAwaitingRoom) {
@@ -65,7 +65,7 @@
 Resources PreemptibleRoom(const OwnedWorker& worker) {
   Resources room;
   for (const auto& [task, run] : worker.runs) {
-    if (CanYield(run)) {
+    if (IsPreemptible(run)) {
       room += RoomOf(run.spec);
     }
   }
@@ -76,7 +76,7 @@
               const std::string& id,
               OwnedWorker& worker,
               const Resources& room) {
-  Resources free = FutureRoom(worker);
+  Resources free = RoomAfterStops(worker);
   std::vector<Victim> chosen;
   for (const Victim& it : VictimsOf(worker)) {
     if (Fits(room, free)) {
@@ -107,7 +107,7 @@
     if (run.phase != RunPhase::kAwaitingRoom) {
       continue;
     }
-    if (Fits(RoomOf(run.spec), PresentRoom(worker))) {
+    if (Fits(RoomOf(run.spec), CurrentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
       OrderStart(context, id, worker, task, run);
     } else if (HasPassed(context.now, run.since, kStartPatience)) {
--- a/Source/engine/jobs/task_copies.cc
+++ b/Source/engine/jobs/task_copies.cc
@@ -73,9 +73,9 @@
                   Task& task,
                   std::uint64_t done_run) {
   if (IsCopy(task, done_run)) {
-    const bool out =
+    const bool placed =
         task.phase == TaskPhase::kOffered || task.phase == TaskPhase::kRunning;
-    if (!out) {
+    if (!placed) {
       task.copy.reset();
       return;
     }
@@ -115,11 +115,11 @@
     }
     return;
   }
-  const Duration patience = task.copy->running ? kRunCheck : kOfferRepeat;
-  if (!HasPassed(context.now, task.copy->last_update, patience)) {
+  const Duration timeout = task.copy->running ? kRunCheck : kOfferRepeat;
+  if (!HasPassed(context.now, task.copy->last_update, timeout)) {
     return;
   }
-  task.copy->last_update = context.now - patience + kOfferRepeat;
+  task.copy->last_update = context.now - timeout + kOfferRepeat;
   const std::string owner = OwnerOfWorker(context, task.copy->worker);
   if (!owner.empty()) {
     queries[owner].runs.push_back({.task = ToString(name),
--- a/Source/engine/jobs/worker_set.cc
+++ b/Source/engine/jobs/worker_set.cc
@@ -62,9 +62,9 @@
   }
 }
 
-void WorkerSet::EraseIf(const std::function<bool(std::uint32_t)>& goes) {
+void WorkerSet::EraseIf(const std::function<bool(std::uint32_t)>& predicate) {
   for (const std::uint32_t it : Numbers()) {
-    if (goes(it)) {
+    if (predicate(it)) {
       Erase(it);
     }
   }
--- a/Source/engine/jobs/worker_set.h
+++ b/Source/engine/jobs/worker_set.h
@@ -33,7 +33,7 @@
   void Insert(std::uint32_t number);
   void Erase(std::uint32_t number);
   void InsertAll(const WorkerSet& others);
-  void EraseIf(const std::function<bool(std::uint32_t)>& goes);
+  void EraseIf(const std::function<bool(std::uint32_t)>& predicate);
   bool empty() const { return size_ == 0; }
   std::size_t size() const { return size_; }
   // Ascending.
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -11,14 +11,14 @@
 
 // Shortest interval between two reads of a record: a lost owner is replaced
 // within about a second.
-constexpr Duration kRecordAge = milliseconds(150);
+constexpr Duration kRecordReadInterval = milliseconds(150);
 // Entries that were not used for this long are removed.
-constexpr Duration kKept = milliseconds(60'000);
+constexpr Duration kEntryTtl = milliseconds(60'000);
 // The owner of a job without runs or ends here is still needed for late
 // messages and for former owners that do not know yet that they were replaced.
 // These have given up after kMaxWithoutStore; fifty times that costs little
 // memory.
-constexpr Duration kKnownKept = milliseconds(600'000);
+constexpr Duration kKnownJobTtl = milliseconds(600'000);
 
 std::size_t ReadsInFlight(const State& state) {
   std::size_t n = 0;
@@ -31,12 +31,12 @@
 }
 
 // Starts the reads that the entry needs now. Returns their number.
-std::size_t Read(Context& context,
-                 const std::string& job,
-                 CatalogEntry& entry) {
+std::size_t StartReads(Context& context,
+                       const std::string& job,
+                       CatalogEntry& entry) {
   std::size_t reads = 0;
   if (entry.want_record && !entry.reading_record &&
-      HasPassed(context.now, entry.read_at, kRecordAge)) {
+      HasPassed(context.now, entry.read_at, kRecordReadInterval)) {
     entry.want_record = false;
     entry.reading_record = true;
     entry.read_at = context.now;
@@ -64,9 +64,9 @@
 }
 
 // Updates the owner to which runs and ends on own workers are reported.
-void TellKnown(Context& context,
-               const std::string& job,
-               const CatalogEntry& entry) {
+void UpdateKnownJob(Context& context,
+                    const std::string& job,
+                    const CatalogEntry& entry) {
   const auto it = context.state.known.find(job);
   if (it == context.state.known.end()) {
     return;
@@ -85,7 +85,7 @@
 
 // Each job of which a task ran here adds an entry. Without removal, small
 // instances with 160 MB of memory would exhaust it within days.
-void ForgetKnown(Context& context) {
+void RemoveUnusedKnownJobs(Context& context) {
   auto& known = context.state.known;
   const auto keep = [&](const std::string& task) {
     const auto name = ParseTaskName(task);
@@ -106,7 +106,7 @@
     it.heard = it.heard == Time(0) ? context.now : it.heard;
   }
   std::erase_if(known, [&](const auto& it) {
-    return HasPassed(context.now, it.second.heard, kKnownKept);
+    return HasPassed(context.now, it.second.heard, kKnownJobTtl);
   });
 }
 
@@ -152,7 +152,7 @@
   std::erase_if(wanted, [&](const std::string& job) {
     const auto it = context.state.catalog.find(job);
     if (it != context.state.catalog.end() && reads < kMaxReadsInFlight) {
-      reads += Read(context, job, it->second);
+      reads += StartReads(context, job, it->second);
     }
     return it == context.state.catalog.end() ||
            (!it->second.want_record && !it->second.want_spec);
@@ -160,11 +160,11 @@
 }
 
 void ForgetUnused(Context& context) {
-  ForgetKnown(context);
+  RemoveUnusedKnownJobs(context);
   std::erase_if(context.state.catalog, [&](const auto& it) {
     const CatalogEntry& entry = it.second;
     return !entry.reading_record && !entry.reading_spec &&
-           HasPassed(context.now, entry.used, kKept);
+           HasPassed(context.now, entry.used, kEntryTtl);
   });
 }
 
@@ -191,7 +191,7 @@
     return;
   }
   entry.known_from = entry.read_at;
-  TellKnown(context, job, entry);
+  UpdateKnownJob(context, job, entry);
   OnRecordKnown(context, job);
 }
 
--- a/Source/engine/records/job_codec.cc
+++ b/Source/engine/records/job_codec.cc
@@ -52,7 +52,7 @@
   return {.status = status, .body = WriteJson(body)};
 }
 
-HttpResponse Shown(const std::string& job, JobState state) {
+HttpResponse EncodeState(const std::string& job, JobState state) {
   Json::Value body(Json::objectValue);
   body["id"] = job;
   body["state"] = Json::StaticString(JobStateName(state));
@@ -85,10 +85,10 @@
     return Respond(kAcceptedStatus, body);
   }
   HttpResponse operator()(const JobShown& it) {
-    return Shown(request.job, it.state);
+    return EncodeState(request.job, it.state);
   }
   HttpResponse operator()(const CancelTaken& it) {
-    return Shown(request.job, it.state);
+    return EncodeState(request.job, it.state);
   }
   HttpResponse operator()(const WaitingShown& it) {
     Json::Value body(Json::objectValue);
@@ -126,7 +126,7 @@
   }
 };
 
-std::optional<CallerQuestion> QuestionAboutJob(const std::string& method) {
+std::optional<CallerQuestion> QueryForMethod(const std::string& method) {
   if (method == "GET") {
     return CallerQuestion::kState;
   }
@@ -136,8 +136,8 @@
   return std::nullopt;
 }
 
-HttpResponse NoSuchMethod(const std::string& method,
-                          const std::string& allowed) {
+HttpResponse MethodNotAllowed(const std::string& method,
+                              const std::string& allowed) {
   return EncodeRefusal(kMethodNotAllowedStatus, Reason::kInvalid,
                        method + " is not served here", allowed);
 }
@@ -165,15 +165,15 @@
   const std::string_view path = request.path;
   if (path.starts_with(kQueue)) {
     if (request.method != "GET") {
-      return NoSuchMethod(request.method, "GET");
+      return MethodNotAllowed(request.method, "GET");
     }
     return CallerRequest{.question = CallerQuestion::kWaiting,
                          .queue = std::string(path.substr(kQueue.size()))};
   }
   if (path.starts_with(kJob)) {
-    const auto question = QuestionAboutJob(request.method);
+    const auto question = QueryForMethod(request.method);
     if (!question) {
-      return NoSuchMethod(request.method, "GET, DELETE");
+      return MethodNotAllowed(request.method, "GET, DELETE");
     }
     return CallerRequest{.question = *question,
                          .job = std::string(path.substr(kJob.size()))};
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -17,7 +17,7 @@
 // Per page; the next sweep removes more.
 constexpr std::size_t kMaxRemovals = 100;
 
-constexpr const char* kDuty = "record sweep";
+constexpr const char* kSweepTask = "record sweep";
 
 void ReadPage(Context& context) {
   SweepState& sweep = context.state.sweep;
@@ -29,11 +29,11 @@
                    ForSweep{});
 }
 
-bool IsLeftOver(const Context& context, const JobRecord& record) {
+bool IsExpired(const Context& context, const JobRecord& record) {
   const Duration kept = 2 * context.state.options.bounds.state_kept;
-  const std::int64_t gone_at =
+  const std::int64_t expires_ms =
       record.ended_ms + ToMilliseconds(kept + kClockMargin);
-  return IsFinal(record.state) && context.wall_ms > gone_at &&
+  return IsFinal(record.state) && context.wall_ms > expires_ms &&
          FindMember(context.state, record.owner) == nullptr;
 }
 
@@ -45,7 +45,7 @@
                      .removes = {JobKey(job), SpecKey(job)}});
 }
 
-void RemoveLeftOvers(Context& context, const std::vector<StoreItem>& items) {
+void RemoveExpired(Context& context, const std::vector<StoreItem>& items) {
   std::size_t removed = 0;
   for (const StoreItem& it : items) {
     const auto decoded = DecodeJob(it.value);
@@ -56,7 +56,7 @@
                    {"problem", ToString(std::get<DecodeError>(decoded))}});
       continue;
     }
-    if (removed < kMaxRemovals && IsLeftOver(context, *record)) {
+    if (removed < kMaxRemovals && IsExpired(context, *record)) {
       ++removed;
       Remove(context, it.key.substr(kJobPrefix.size()), it.revision);
     }
@@ -73,7 +73,7 @@
     return;
   }
   sweep.swept_at = context.now;
-  if (ChooseMember(context.state, kDuty, {}) == context.self()) {
+  if (ChooseMember(context.state, kSweepTask, {}) == context.self()) {
     sweep.after.clear();
     ReadPage(context);
   }
@@ -86,7 +86,7 @@
   if (page == nullptr) {
     return;  // the next sweep reads it again
   }
-  RemoveLeftOvers(context, page->items);
+  RemoveExpired(context, page->items);
   if (page->more && !page->items.empty()) {
     sweep.after = page->items.back().key;
     ReadPage(context);
--- a/Source/engine/records/record_writer.cc
+++ b/Source/engine/records/record_writer.cc
@@ -90,7 +90,8 @@
 }
 
 // The stored item of the first condition that does not hold.
-std::optional<StoreItem> Failed(const Change& change, const Items& items) {
+std::optional<StoreItem> FailedCondition(const Change& change,
+                                         const Items& items) {
   for (const StoreCondition& it : change.conditions) {
     StoreItem item = ItemAt(items, it.key);
     if (item.revision != it.revision) {
@@ -124,11 +125,11 @@
   if (own.revision == 0) {
     LoseRegistration(context, "not in the store");
   }
-  std::vector<Change> again;
+  std::vector<Change> retry;
   for (Change& it : batch.changes) {
-    const auto failed = Failed(it, items);
+    const auto failed = FailedCondition(it, items);
     if (!failed) {
-      again.push_back(std::move(it));
+      retry.push_back(std::move(it));
     } else if (it.may_be_done && IsOwnWrite(it, *failed)) {
       context.Log(EventNumber::kLostAnswerSettled,
                   {{"job", it.job}, {"outcome", "written"}});
@@ -137,14 +138,14 @@
       OnChangeConflict(context, it, *failed);
     }
   }
-  Requeue(context, std::move(again));
+  Requeue(context, std::move(retry));
 }
 
 // Takes one transaction from the token bucket of the write rate, of which each
 // instance has an equal share. A burst of changes waits in the queue and is
 // sent in larger batches. Without this limit the store refuses calls, also
 // those of other clients, and every refused call is repeated.
-bool TakeAllowance(Context& context) {
+bool TakeWriteToken(Context& context) {
   WriterState& writer = context.state.writer;
   const auto members = static_cast<double>(
       std::max<std::size_t>(context.state.members.present.size(), 1));
@@ -171,11 +172,11 @@
   WriterState& writer = context.state.writer;
   // While the fence is being advanced a transaction would be conditional on the
   // old fence.
-  const bool raising = context.state.members.raising;
-  while (!writer.queue.empty() && IsRegistered(context.state) && !raising &&
+  const bool advancing = context.state.members.raising;
+  while (!writer.queue.empty() && IsRegistered(context.state) && !advancing &&
          context.now >= writer.retry_at &&
          writer.in_flight.size() < kMaxTransactionsInFlight &&
-         TakeAllowance(context)) {
+         TakeWriteToken(context)) {
     Batch batch = TakeBatch(context);
     const std::uint64_t id = ++writer.last_batch;
     SendStoreRequest(context, TransactionOf(context, batch),
--- a/Source/engine/records/store_calls.cc
+++ b/Source/engine/records/store_calls.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-void NoteTrouble(Context& context, const std::string& detail) {
+void RecordFailure(Context& context, const std::string& detail) {
   StoreState& store = context.state.store;
   store.last_trouble = context.now;
   if (store.healthy) {
@@ -13,7 +13,7 @@
   }
 }
 
-void NoteHealth(Context& context) {
+void RecordSuccess(Context& context) {
   StoreState& store = context.state.store;
   store.last_answer = context.now;
   if (!store.healthy) {
@@ -45,13 +45,13 @@
   // A watch may end without an answer though the store has no fault.
   const bool watching = std::holds_alternative<ForWatch>(node.mapped());
   if (const auto* refused = std::get_if<StoreRefused>(&event.answer)) {
-    NoteTrouble(context, refused->detail);
+    RecordFailure(context, refused->detail);
   } else if (const auto* unknown = std::get_if<StoreUnknown>(&event.answer)) {
     if (!watching) {
-      NoteTrouble(context, unknown->detail);
+      RecordFailure(context, unknown->detail);
     }
   } else {
-    NoteHealth(context);
+    RecordSuccess(context);
   }
   return std::move(node.mapped());
 }
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -25,7 +25,7 @@
 
 // Shortest interval between two reads of the members beside their watch, which
 // answers late when nothing has changed.
-constexpr Duration kMembersReview = milliseconds(200);
+constexpr Duration kMembersReadInterval = milliseconds(200);
 
 Duration PauseOf(WatchedList list) {
   return list == WatchedList::kWorkers ? kWorkersPause : Duration(0);
@@ -161,9 +161,9 @@
   }
   for (const StoreItem& it : changes.items) {
     OnItem(context, list, it);
-    const auto gone = removed.find(it.key);
-    if (gone != removed.end() && gone->second < it.revision) {
-      removed.erase(gone);
+    const auto removal = removed.find(it.key);
+    if (removal != removed.end() && removal->second < it.revision) {
+      removed.erase(removal);
     }
   }
   for (const auto& [key, revision] : removed) {
@@ -240,7 +240,7 @@
 void RequestMembers(Context& context) {
   MembersReview& review = context.state.members_review;
   if (review.in_flight ||
-      !HasPassed(context.now, review.asked_at, kMembersReview)) {
+      !HasPassed(context.now, review.asked_at, kMembersReadInterval)) {
     return;
   }
   review.in_flight = true;
--- a/Tests/engine/fake_store.cc
+++ b/Tests/engine/fake_store.cc
@@ -13,7 +13,7 @@
 void FakeStore::Expire(Time now) {
   std::vector<std::uint64_t> ended;
   for (const auto& [id, lease] : leases_) {
-    if (lease.ends <= now) {
+    if (lease.expires <= now) {
       ended.push_back(id);
     }
   }
@@ -66,13 +66,13 @@
 
 std::optional<StoreAnswer> FakeStore::Answer(Time /*now*/,
                                              const StoreRange& it) {
-  constexpr std::size_t kPage = 50;
+  constexpr std::size_t kPageSize = 50;
   StoreDone done{.revision = revision_};
   for (const auto& [key, entry] : entries_) {
     if (!key.starts_with(it.prefix) || key <= it.after) {
       continue;
     }
-    if (done.items.size() == kPage) {
+    if (done.items.size() == kPageSize) {
       done.more = true;
       break;
     }
@@ -144,7 +144,7 @@
 
 std::optional<StoreAnswer> FakeStore::Answer(Time now,
                                              const StoreLeaseGrant& it) {
-  leases_[++last_lease_] = Lease{.ttl = it.ttl, .ends = now + it.ttl};
+  leases_[++last_lease_] = Lease{.ttl = it.ttl, .expires = now + it.ttl};
   return StoreDone{.lease = last_lease_};
 }
 
@@ -154,7 +154,7 @@
   if (lease == leases_.end()) {
     return StoreAbsent{};
   }
-  lease->second.ends = now + lease->second.ttl;
+  lease->second.expires = now + lease->second.ttl;
   return StoreDone{};
 }
 
--- a/Tests/engine/fake_store.h
+++ b/Tests/engine/fake_store.h
@@ -40,7 +40,7 @@
  private:
   struct Lease {
     Duration ttl{0};
-    Time ends{0};
+    Time expires{0};
   };
   struct Entry {
     StoreItem item{};
--- a/Tests/engine/watches_test.cc
+++ b/Tests/engine/watches_test.cc
@@ -38,7 +38,7 @@
         .state = state, .effects = effects, .now = seconds(1000), .wall_ms = 0};
     OnWatchAnswer(context, WatchedList::kWorkers, done);
   }
-  void Tell(const std::string& text) {
+  void PutEntry(const std::string& text) {
     Answer({.items = {{.key = "worker/w1", .value = text, .revision = ++last}},
             .revision = last});
   }
@@ -56,15 +56,15 @@
 TEST_CASE(
     "A worker's entry is decoded only if more than its heartbeat changed") {
   Follower follower;
-  follower.Tell("1");
+  follower.PutEntry("1");
   CHECK(follower.decoded == 1);
-  follower.Tell("2");
-  follower.Tell("3");
+  follower.PutEntry("2");
+  follower.PutEntry("3");
   CHECK(follower.decoded == 1);
-  follower.Tell("4 draining");
+  follower.PutEntry("4 draining");
   CHECK(follower.decoded == 2);
   CHECK(follower.state.workers.at("w1").info.draining);
-  follower.Tell("5 draining");
+  follower.PutEntry("5 draining");
   CHECK(follower.decoded == 2);
 }
 
@@ -73,14 +73,14 @@
 // heartbeat and ignored.
 TEST_CASE("A worker that returns with the same entry is listed again") {
   Follower follower;
-  follower.Tell("1");
+  follower.PutEntry("1");
   follower.Answer(
       {.removed = {{.key = "worker/w1", .revision = 2}}, .revision = 2});
   CHECK_FALSE(follower.state.workers.at("w1").listed);
-  follower.Tell("2");
+  follower.PutEntry("2");
   CHECK(follower.state.workers.at("w1").listed);
   follower.state.workers.erase("w1");  // declared lost
-  follower.Tell("3");
+  follower.PutEntry("3");
   CHECK(follower.state.workers.contains("w1"));
   CHECK(follower.decoded == 3);
 }
