--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -54,20 +54,20 @@
 
 bool NeedsAdvice(const Context& context, const ReadyStep& ready) {
   const StepRun& step = ready.run();
-  if (!ready.queue->advice || step.asking || CountWaiting(step) == 0) {
+  if (!ready.queue->advice || step.advice_pending || CountWaiting(step) == 0) {
     return false;
   }
   if (!ready.ready && HasValidTicket(context, step)) {
     return false;
   }
-  return HasPassed(context.now, step.asked_at,
+  return HasPassed(context.now, step.advice_checked_at,
                    kQueryInterval + ready.queue->advice->decision) &&
          !HasEnough(context, ready);
 }
 
 AdviceReason ReasonOf(const Context& context, const ReadyStep& ready) {
   const StepRun& step = ready.run();
-  if (step.unanswered) {
+  if (step.advice_unanswered) {
     return AdviceReason::kRepeated;
   }
   if (step.advised_at == kForever) {
@@ -103,19 +103,20 @@
   const Duration expected = ExpectedTime(*ready.queue->advice, workers.size());
   // After a query without a reply, only members are chosen that have sent an
   // update since then: a whole failure domain may be cut off at once.
-  const Time updated_since =
-      ready.run().unanswered ? ready.run().called_at : Time::min();
+  const Time updated_since = ready.run().advice_unanswered
+                               ? ready.run().advice_called_at
+                               : Time::min();
   const std::string member = ChooseAdviceCaller(context, ready.queue->priority,
                                                 expected, updated_since);
   const Duration wait = WaitAt(context, member, ready.queue->priority);
   const Duration timeout =
       wait + expected + (IsLongCall(expected) ? kLongReplySlack : kReplySlack);
   const bool may_decline =
-      member != context.self() && ready.run().declines < kMaxDeclines;
+      member != context.self() && ready.run().advice_declines < kMaxDeclines;
   const std::uint64_t call = ++advice.last_call;
-  ready.run().asked_at = context.now;
-  ready.run().called_at = context.now;
-  ready.run().asking = true;
+  ready.run().advice_checked_at = context.now;
+  ready.run().advice_called_at = context.now;
+  ready.run().advice_pending = true;
   const TaskName step{
       .job = ready.job->id, .occurrence = ready.occurrence, .step = ready.step};
   Send(
@@ -185,7 +186,7 @@
     return nullptr;
   }
   StepRun& step = StepAt(*job, query.step.occurrence, query.step.step);
-  step.asking = false;
+  step.advice_pending = false;
   return &step;
 }
 
@@ -211,8 +212,8 @@
       return false;
     }
     if (StepRun* step = EndQuery(context, it.second)) {
-      step->unanswered = true;
-      step->asked_at = Time::min();  // query another member at once
+      step->advice_unanswered = true;
+      step->advice_checked_at = Time::min();  // query another member at once
     }
     ++context.state.totals.advice[it.second.reason].given_up;
     AvoidAdviceCaller(context, it.second);
@@ -237,7 +238,7 @@
     if (!workers.empty()) {
       SendQuery(context, it, std::move(workers));
     } else {
-      it.run().asked_at = context.now;
+      it.run().advice_checked_at = context.now;
     }
   }
 }
@@ -259,13 +260,13 @@
       job == nullptr ? nullptr
                      : FindQueueByName(context.state.configuration, job->queue);
   if (reply.declined && step != nullptr) {
-    ++step->declines;
-    step->asked_at = Time::min();  // query another member at once
+    ++step->advice_declines;
+    step->advice_checked_at = Time::min();  // query another member at once
     return;
   }
   if (step != nullptr) {
-    step->declines = 0;
-    step->unanswered = reply.failed;
+    step->advice_declines = 0;
+    step->advice_unanswered = reply.failed;
   }
   CountReply(context, query, reply, step == nullptr);
   if (reply.failed || step == nullptr || queue == nullptr || !queue->advice) {
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -30,7 +30,7 @@
                   const ReadyStep& ready,
                   const PlacementNeed& need,
                   Candidate candidate) {
-  candidate.free += candidate.yielding;
+  candidate.free += candidate.preemptible;
   return MayPreempt(context, ready) && HasRoomNow(need, candidate);
 }
 
@@ -150,7 +150,7 @@
   }
   const StepRun& step = ready.run();
   const bool queried = step.advised_at != kForever;
-  if (queried && !IsWorthACall(call, context.now - step.called_at)) {
+  if (queried && !IsWorthACall(call, context.now - step.advice_called_at)) {
     chosen.clear();
   }
   return chosen;
--- a/Source/engine/jobs/caller_requests.cc
+++ b/Source/engine/jobs/caller_requests.cc
@@ -84,7 +84,7 @@
   Job job = MakeJob(id, std::move(spec), queue.name);
   job.created = context.now;
   job.accepted_ms = context.wall_ms;
-  job.submitters.push_back(call);
+  job.submit_waiters.push_back(call);
   QueueCreation(context, job);
   context.state.active.insert(id);
   context.state.jobs.emplace(id, std::move(job));
@@ -100,7 +100,7 @@
     if (job->stored) {
       return Answer(context, call, JobAccepted{});
     }
-    job->submitters.push_back(call);
+    job->submit_waiters.push_back(call);
     return;
   }
   if (context.state.stop.asked) {
@@ -143,7 +143,9 @@
       usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
 }
 
-void ReportState(Context& context, const Asker& waiter, const Job& job) {
+void ReportState(Context& context,
+                 const PendingCaller& waiter,
+                 const Job& job) {
   const JobState state = ShownState(job);
   if (waiter.member.empty()) {
     return Answer(context, waiter.call, JobShown{.state = state});
@@ -175,22 +177,22 @@
   return true;
 }
 
-void OnStateQuery(Context& context, Job& job, Asker waiter) {
+void OnStateQuery(Context& context, Job& job, PendingCaller waiter) {
   if (!MayHaveEnded(job)) {
     return ReportState(context, waiter, job);
   }
-  waiter.until = context.now + kStateNews;
-  job.watchers.push_back(std::move(waiter));
+  waiter.reply_by = context.now + kStateNews;
+  job.status_waiters.push_back(std::move(waiter));
 }
 
-void BeginCancel(Context& context, Job& job, Asker waiter) {
+void BeginCancel(Context& context, Job& job, PendingCaller waiter) {
   if (IsFinal(job.stored_state)) {
     return AnswerCancel(context, waiter, job.stored_state);
   }
-  waiter.until = QueryDeadline(context);
-  job.cancellers.push_back(std::move(waiter));
+  waiter.reply_by = QueryDeadline(context);
+  job.cancel_waiters.push_back(std::move(waiter));
   if (!job.stored) {
-    job.cancel_wanted = true;
+    job.cancel_requested = true;
     return;
   }
   EndJob(context, job, JobState::kCancelled, "caller");
@@ -257,9 +259,9 @@
 bool TryAnswer(Context& context, std::uint64_t id, WaitingCaller& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
     if (caller.question == CallerQuestion::kState) {
-      OnStateQuery(context, *job, Asker{.call = caller.call});
+      OnStateQuery(context, *job, PendingCaller{.call = caller.call});
     } else {
-      BeginCancel(context, *job, Asker{.call = caller.call});
+      BeginCancel(context, *job, PendingCaller{.call = caller.call});
     }
     return true;
   }
@@ -271,7 +273,7 @@
   const bool read = entry.record || entry.absent;
   if (!read || entry.known_from < caller.read_from) {
     if (!entry.reading_record || entry.read_at < caller.read_from) {
-      WantRecord(context, caller.job);
+      RequestRecord(context, caller.job);
     }
     QueryAllWithoutStore(context, id, caller);
     return false;
@@ -293,10 +295,10 @@
     return false;
   }
   const bool unresponsive =
-      caller.asked == owner &&
-      HasPassed(context.now, caller.asked_at, kPeerAnswer);
+      caller.since_advice_check == owner &&
+      HasPassed(context.now, caller.advice_checked_at, kPeerAnswer);
   if (unresponsive) {
-    WantRecord(context, caller.job);
+    RequestRecord(context, caller.job);
   }
   if (unresponsive || caller.asked != owner) {
     SendQuery(context, id, caller, owner);
@@ -352,8 +354,8 @@
 // Times out the callers, not the cancel itself. A member that forwarded a
 // cancel times out its own caller.
 void TimeOutCancelWaiters(Context& context, Job& job) {
-  std::erase_if(job.cancellers, [&](const Asker& it) {
-    const bool due = context.now >= it.until;
+  std::erase_if(job.cancel_waiters, [&](const PendingCaller& it) {
+    const bool due = context.now >= it.reply_by;
     if (due && it.member.empty()) {
       context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
       Answer(context, it.call,
@@ -364,7 +366,7 @@
 }
 
 void TimeOutSubmitWaiters(Context& context, Job& job) {
-  for (const std::uint64_t it : std::exchange(job.submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job.submit_waiters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
     Answer(context, it, NotKnown{.detail = "the store has not answered"});
   }
@@ -379,11 +381,11 @@
   std::vector<std::string> withdrawn;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
-    if (job.stored || job.submitters.empty()) {
+    if (job.stored || job.submit_waiters.empty()) {
       continue;
     }
     if (!store_usable && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
-      for (const std::uint64_t it : job.submitters) {
+      for (const std::uint64_t it : job.submit_waiters) {
         Refuse(context, it, id,
                context.state.stop.asked ? RefusalCause::kStopping
                                         : RefusalCause::kStoreAway);
@@ -397,7 +399,7 @@
   for (const std::string& it : withdrawn) {
     Job& job = context.state.jobs.at(it);
     AnswerStatusWaiters(context, job, true);
-    const std::vector<Asker> waiters = std::move(job.cancellers);
+    const std::vector<PendingCaller> waiters = std::move(job.cancel_waiters);
     context.state.active.erase(it);
     context.state.jobs.erase(it);
     RedirectCancelWaiters(context, it, waiters);
@@ -470,9 +472,10 @@
   }
   if (query.kind == JobQueryKind::kCancel) {
     return BeginCancel(context, *job,
-                       Asker{.member = from, .call = query.call});
+                       PendingCaller{.member = from, .call = query.call});
   }
-  OnStateQuery(context, *job, Asker{.member = from, .call = query.call});
+  OnStateQuery(context, *job,
+               PendingCaller{.member = from, .call = query.call});
 }
 
 void OnJobReply(Context& context, const JobReply& reply) {
@@ -527,7 +530,9 @@
   DriveSubmitWaiters(context);
 }
 
-void AnswerCancel(Context& context, const Asker& waiter, JobState state) {
+void AnswerCancel(Context& context,
+                  const PendingCaller& waiter,
+                  JobState state) {
   if (waiter.member.empty()) {
     return Answer(context, waiter.call, CancelTaken{.state = state});
   }
@@ -536,8 +541,8 @@
 }
 
 void AnswerStatusWaiters(Context& context, Job& job, bool all) {
-  std::erase_if(job.watchers, [&](const Asker& it) {
-    const bool due = all || context.now >= it.until;
+  std::erase_if(job.status_waiters, [&](const PendingCaller& it) {
+    const bool due = all || context.now >= it.reply_by;
     if (due) {
       ReportState(context, it, job);
     }
@@ -547,8 +552,8 @@
 
 void RedirectCancelWaiters(Context& context,
                            const std::string& job,
-                           const std::vector<Asker>& waiters) {
-  for (const Asker& it : waiters) {
+                           const std::vector<PendingCaller>& waiters) {
+  for (const PendingCaller& it : waiters) {
     if (it.member.empty()) {
       OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
     } else {
@@ -560,9 +565,9 @@
 OpenRequests CountOpenRequests(const State& state) {
   OpenRequests open{.queries = state.callers.size()};
   for (const auto& [id, job] : state.jobs) {
-    open.submissions += job.submitters.size();
-    open.cancels += job.cancellers.size();
-    open.states += job.watchers.size();
+    open.submissions += job.submit_waiters.size();
+    open.cancels += job.cancel_waiters.size();
+    open.states += job.status_waiters.size();
   }
   return open;
 }
@@ -571,7 +576,7 @@
   for (auto& [id, job] : context.state.jobs) {
     AnswerStatusWaiters(context, job, true);
     if (!IsFinal(job.stored_state)) {
-      RedirectCancelWaiters(context, id, std::exchange(job.cancellers, {}));
+      RedirectCancelWaiters(context, id, std::exchange(job.cancel_waiters, {}));
     }
   }
 }
--- a/Source/engine/jobs/caller_requests.h
+++ b/Source/engine/jobs/caller_requests.h
@@ -33,7 +33,9 @@
 
 // Reports the job's state to a waiter of its cancel: a caller here, or the
 // member that forwarded the cancel.
-void AnswerCancel(Context& context, const Asker& waiter, JobState state);
+void AnswerCancel(Context& context,
+                  const PendingCaller& waiter,
+                  JobState state);
 
 // Reports the job's state to the callers that wait for it: to all, or to those
 // whose timeout is over.
@@ -43,7 +45,7 @@
 // for its cancel, and lets members that forwarded a cancel do the same.
 void RedirectCancelWaiters(Context& context,
                            const std::string& job,
-                           const std::vector<Asker>& waiters);
+                           const std::vector<PendingCaller>& waiters);
 
 // This instance has released its jobs: pending cancels are sent to the instance
 // that adopts the job, and pending state queries are answered with the known
--- a/Source/engine/jobs/candidates.cc
+++ b/Source/engine/jobs/candidates.cc
@@ -8,24 +8,25 @@
 
 namespace {
 
-// So much at most does an instance like a worker of another owner.
-constexpr double kMostForeign = 0.5;
+// Upper bound of the preference for another owner's worker.
+constexpr double kMaxForeignPreference = 0.5;
 
-double LikingOf(const Context& context,
-                const std::string& worker,
-                const std::string& owner) {
+double PreferenceFor(const Context& context,
+                     const std::string& worker,
+                     const std::string& owner) {
   if (owner == context.self()) {
     return 1;
   }
   const XXH64_hash_t seed =
       XXH64(context.self().data(), context.self().size(), 0);
   const XXH64_hash_t hash = XXH64(worker.data(), worker.size(), seed);
-  return kMostForeign * static_cast<double>(hash >> 11U) / 0x1p53;
+  return kMaxForeignPreference * static_cast<double>(hash >> 11U) / 0x1p53;
 }
 
-// Estimates are off alike for all workers, so only the differences between them
-// count. A worker of which nothing is known yet counts as a mean one.
-void RelateSlowness(std::vector<Candidate>& candidates) {
+// Scales slowness to a mean of 1. Estimates are wrong by a similar factor for
+// all workers, so only differences between workers count. A worker without data
+// counts as average.
+void NormalizeSlowness(std::vector<Candidate>& candidates) {
   double sum = 0;
   double n = 0;
   for (const Candidate& it : candidates) {
@@ -39,7 +40,8 @@
 
 }  // namespace
 
-// Caches the view and its owner: each round needs those of all workers.
+// Caches the view and whether its owner is a member, because each placement
+// round needs them for all workers.
 const RoomView* UsableView(State& state,
                            const std::string& id,
                            ListedWorker& listed) {
@@ -75,13 +77,13 @@
       candidates.push_back(
           {.worker = &listed.info,
            .free = view->free,
-           .yielding = view->yielding,
+           .preemptible = view->yielding,
            .own_domain = listed.info.domain == state.options.self.domain,
-           .liking = LikingOf(context, id, view->owner),
+           .preference = PreferenceFor(context, id, view->owner),
            .slowness = static_cast<double>(view->slowness)});
     }
   }
-  RelateSlowness(candidates);
+  NormalizeSlowness(candidates);
   return candidates;
 }
 
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Takes the workers of an owner that did not answer as closed until it does, as
-// they would be chosen again at once.
-void DoubtOwnerOf(Context& context, const std::string& worker) {
+// Treats all workers of an owner that did not answer as not accepting until it
+// answers, because they would be chosen again at once.
+void CloseWorkersOfOwner(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view == context.state.view.end() || view->second.owner.empty() ||
       view->second.owner == context.self()) {
@@ -28,20 +28,21 @@
   RequestRoomUpdate(context, worker);
 }
 
-// Members are booked first and started together, so nothing of a run begins
-// before this owner has ordered its start. Runs of a former owner may.
+// Members are booked first and started together, so a run does not begin before
+// this owner has commanded its start. A run of a former owner may have begun.
 bool IsOnlyBooked(Job& job, const TaskName& name, const Task& task) {
   const StepRun& step = StepAt(job, name.occurrence, name.step);
   return job.spec.steps[name.step].gang && task.phase == TaskPhase::kOffered &&
-         task.run == step.gang_run && task.run != step.gang_started &&
+         task.run == step.gang_run && task.run != step.gang_started_run &&
          IsRunOfThisOwner(job, task.run);
 }
 
 }  // namespace
 
-// Nothing runs for a booking without an answer, so that a gang need not wait
-// for a worker that is cut off.
-void GiveUpBooking(Context& context,
+// Without a start command nothing runs for a booking, so giving up a booking
+// that got no answer is safe, and a gang need not wait for a worker that is cut
+// off.
+void ExpireBooking(Context& context,
                    Job& job,
                    const TaskName& name,
                    Task& task) {
@@ -50,7 +51,7 @@
     return;
   }
   if (!task.booked) {
-    DoubtOwnerOf(context, task.worker);
+    CloseWorkersOfOwner(context, task.worker);
   }
   SendStop(context, job, name, task.worker, task.run);
   Requeue(context, task, Duration(0));
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -53,7 +53,7 @@
 
 void ConfirmEnds(Context& context, Job& job) {
   std::map<std::string, EndsStored> by_member;
-  std::erase_if(job.unstored, [&](const UnstoredEnd& it) {
+  std::erase_if(job.unstored_ends, [&](const UnstoredEnd& it) {
     if (it.version > job.stored_version) {
       return false;
     }
@@ -65,7 +65,8 @@
   }
 }
 
-// The store's record of an ended job is kept as long as callers may ask.
+// Removes the store's record of an ended job, which is kept as long as callers
+// may query it.
 void QueueForget(Context& context, const Job& job) {
   QueueChange(
       context,
@@ -123,11 +124,12 @@
 }
 
 void ForgetEnded(Context& context) {
-  // Twice as long as callers may rely on: their clock and ours differ.
+  // Twice the time that callers may rely on, because their clocks and this one
+  // differ.
   const Duration kept = 2 * context.state.options.bounds.state_kept;
   std::vector<std::string> old;
   for (const auto& [id, job] : context.state.jobs) {
-    const bool ended = IsFinal(job.stored_state) && job.unstored.empty() &&
+    const bool ended = IsFinal(job.stored_state) && job.unstored_ends.empty() &&
                        job.stored_version == job.version;
     if (ended && HasPassed(context.now, job.ended_at, kept)) {
       old.push_back(id);
@@ -158,15 +160,16 @@
                {"revision", std::to_string(revision)},
                {"after_ms",
                 std::to_string(ToMilliseconds(context.now - job->created))}});
-  for (const std::uint64_t it : std::exchange(job->submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job->submit_waiters, {})) {
     context.Emit(AnswerCaller{.call = it, .answer = JobAccepted{}});
   }
-  if (job->cancel_wanted) {
+  if (job->cancel_requested) {
     EndJob(context, *job, JobState::kCancelled, "caller");
   }
 }
 
-// Another instance has taken the same job, or this one in an earlier life.
+// Another instance has accepted the same job, or an earlier incarnation of this
+// one has.
 void OnCreateConflict(Context& context,
                       const std::string& id,
                       const StoreItem& item) {
@@ -176,14 +179,15 @@
   }
   context.Log(EventNumber::kJobRepeated,
               {{"job", id}, {"revision", std::to_string(item.revision)}});
-  for (const std::uint64_t it : std::exchange(job->submitters, {})) {
+  for (const std::uint64_t it : std::exchange(job->submit_waiters, {})) {
     context.Emit(AnswerCaller{.call = it, .answer = JobAccepted{}});
   }
   AnswerStatusWaiters(context, *job, true);
-  const std::vector<Asker> cancellers = std::move(job->cancellers);
+  const std::vector<PendingCaller> cancel_waiters =
+      std::move(job->cancel_waiters);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RedirectCancelWaiters(context, id, cancellers);
+  RedirectCancelWaiters(context, id, cancel_waiters);
 }
 
 void OnSaved(Context& context,
@@ -206,10 +210,10 @@
     return;
   }
   AnswerStatusWaiters(context, *job, true);
-  if (!job->cancellers.empty()) {
+  if (!job->cancel_waiters.empty()) {
     NoteCancelAcknowledged(context, *job);
   }
-  for (const Asker& it : std::exchange(job->cancellers, {})) {
+  for (const PendingCaller& it : std::exchange(job->cancel_waiters, {})) {
     AnswerCancel(context, it, job->stored_state);
   }
   context.state.digest.waiting_changed = true;
@@ -228,7 +232,7 @@
   if (item.revision != 0 && record != nullptr &&
       record->owner == context.self() &&
       record->generation == job->generation) {
-    // An own write that was taken for lost.
+    // The conflict is with an own write whose answer was lost.
     job->revision = item.revision;
     job->urgent_write = true;
     return;
@@ -236,7 +240,7 @@
   DropJob(context, id, item.revision == 0 ? "no record" : "adopted");
 }
 
-void DoubtOwnership(Context& context) {
+void MarkOwnershipUnverified(Context& context) {
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
     job.verified = false;
@@ -249,7 +253,7 @@
   if (job == nullptr) {
     return;
   }
-  // Ends on own workers must find the new owner.
+  // Ends on own workers must be reported to the new owner.
   if (const auto known = context.state.known.find(id);
       known != context.state.known.end() &&
       known->second.owner == context.self()) {
@@ -260,10 +264,11 @@
                {"generation", std::to_string(job->generation)},
                {"cause", cause}});
   AnswerStatusWaiters(context, *job, true);
-  const std::vector<Asker> cancellers = std::move(job->cancellers);
+  const std::vector<PendingCaller> cancel_waiters =
+      std::move(job->cancel_waiters);
   context.state.active.erase(id);
   context.state.jobs.erase(id);
-  RedirectCancelWaiters(context, id, cancellers);
+  RedirectCancelWaiters(context, id, cancel_waiters);
 }
 
 void ConfirmWhenStored(Context& context,
@@ -273,7 +278,7 @@
   if (report.sequence == 0) {
     return;
   }
-  job.unstored.push_back(
+  job.unstored_ends.push_back(
       {.from = from,
        .end = {.worker = report.worker, .sequence = report.sequence},
        .version = job.version});
--- a/Source/engine/jobs/open_work.h
+++ b/Source/engine/jobs/open_work.h
@@ -1,4 +1,4 @@
-// What is open at this instance and since when, for operators.
+// Counts of unfinished work at this instance and its age, for operators.
 #ifndef BURDOCKROCK_ENGINE_JOBS_OPEN_WORK_H_
 #define BURDOCKROCK_ENGINE_JOBS_OPEN_WORK_H_
 
@@ -11,25 +11,27 @@
 
 namespace burdockrock::engine {
 
-// Things of one kind, and for how long the oldest of them has been open.
-struct OpenKind {
+// Number of open items of one kind and the age of the oldest.
+struct OpenItems {
   std::size_t count = 0;
   Duration oldest{0};
 
-  auto operator<=>(const OpenKind&) const = default;
+  auto operator<=>(const OpenItems&) const = default;
 };
 
+// The kinds of open work.
 struct OpenWork {
-  OpenKind recoveries{};  // own jobs of which is not known yet what runs
-  OpenKind claims{};      // workers that have not answered a claim
-  // Runs of own jobs that were ordered to stop and are not known to have ended.
-  OpenKind stops_of_jobs{};
-  // Runs on own workers likewise.
-  OpenKind stops_at_workers{};
+  OpenItems recoveries{};  // own jobs whose runs are not all known yet
+  OpenItems claims{};      // own workers that have not answered the claim
+  // Runs of own jobs with a stop command that are not known to have ended.
+  OpenItems stops_of_jobs{};
+  // The same for runs on own workers.
+  OpenItems stops_at_workers{};
 
   auto operator<=>(const OpenWork&) const = default;
 };
 
+// Counts at time `now`.
 OpenWork CountOpenWork(const State& state, Time now);
 
 // A run that was offered and is not known to have ended.
@@ -41,7 +43,7 @@
   Time stopping_since{0};
 };
 
-// Of all tasks and their copies.
+// The open runs of all tasks and their copies.
 std::vector<OpenRun> OpenRunsOf(const Job& job);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/placing.cc
+++ b/Source/engine/jobs/placing.cc
@@ -17,21 +17,22 @@
 
 namespace {
 
-// Placement is tried again after this long though nothing has changed.
-constexpr Duration kIdleRound = milliseconds(100);
+// Interval of placement rounds while nothing has changed.
+constexpr Duration kIdlePlacementInterval = milliseconds(100);
 
-// Share of each worker's processors that a queue leaves free for those that go
-// before it, so that short urgent tasks need not wait for long ones to end.
+// Share of each worker's processors that a queue leaves free, for each priority
+// above its own, so that short urgent tasks need not wait for long ones to end.
 constexpr double kReservePerPriority = 0.06;
 
-// Urgent work that has waited so long is about to miss its objective; sooner,
-// stopping others costs more than it brings.
-constexpr Duration kPreemptAfter = milliseconds(800);
+// Urgent work that has waited this long is about to miss its objective. Earlier
+// preemption costs more than it gains.
+constexpr Duration kPreemptionDelay = milliseconds(800);
 
+// State of one placement round.
 struct Round {
   Context& context;
   std::map<std::string, std::vector<Candidate>> by_service{};
-  // By the workers' owner.
+  // By owner of the workers.
   std::map<std::string, std::vector<TaskOffer>> offers{};
 };
 
@@ -54,8 +55,8 @@
          it->second.expires > context.now + kTicketMargin;
 }
 
-// Most steps that wait have none, and looking through all workers for them
-// finds nothing.
+// Most waiting steps have no ticket; this avoids a scan of all workers for
+// them.
 bool HasAnyTicket(const Context& context, const ReadyStep& ready) {
   const auto& tickets = ready.run().tickets;
   return !ready.queue->advice ||
@@ -70,36 +71,37 @@
   if (!preempts) {
     return HasRoomNow(need, candidate);
   }
-  Candidate emptied = candidate;
-  emptied.free += candidate.yielding;
-  return HasRoomNow(need, emptied);
+  Candidate after_preemption = candidate;
+  after_preemption.free += candidate.preemptible;
+  return HasRoomNow(need, after_preemption);
 }
 
-// Workers on which tasks of the step may run, and that have room for one at
-// least: in a round room only gets less. Room is checked before the ticket,
-// which has to be looked up by name.
-std::vector<Candidate*> OpenTo(const Context& context,
-                               const ReadyStep& ready,
-                               const PlacementNeed& need,
-                               std::vector<Candidate>& candidates) {
+// Workers on which tasks of the step may run and that have room for at least
+// one: during a round, room only shrinks. Room is checked before the ticket
+// because the ticket is looked up by name.
+std::vector<Candidate*> EligibleWorkers(const Context& context,
+                                        const ReadyStep& ready,
+                                        const PlacementNeed& need,
+                                        std::vector<Candidate>& candidates) {
   const bool may_preempt = MayPreempt(context, ready);
-  std::vector<Candidate*> open;
+  std::vector<Candidate*> eligible;
   for (Candidate& it : candidates) {
     const bool has_room =
         HasRoomNow(need, it) || (may_preempt && HasRoom(need, it, true));
     if (has_room && MayRunOn(ready.spec(), *it.worker) &&
         HasTicket(context, ready, it.worker->id)) {
-      open.push_back(&it);
+      eligible.push_back(&it);
     }
   }
-  return open;
+  return eligible;
 }
 
 struct Choice {
   const ReadyStep& ready;
-  std::vector<Candidate*> open;
-  std::map<std::string, std::uint32_t> placed{};  // if that is bounded
-  std::string not_on{};                           // a worker; empty: any
+  std::vector<Candidate*> eligible;
+  // Tasks by worker; filled only if the step limits them.
+  std::map<std::string, std::uint32_t> placed{};
+  std::string excluded_worker{};  // empty: none
   bool preempts = false;
 };
 
@@ -107,8 +109,8 @@
   const StepSpec& spec = choice.ready.spec();
   Candidate* best = nullptr;
   double best_cost = 0;
-  for (Candidate* it : choice.open) {
-    if (it->worker->id == choice.not_on ||
+  for (Candidate* it : choice.eligible) {
+    if (it->worker->id == choice.excluded_worker ||
         !HasRoom(need, *it, choice.preempts)) {
       continue;
     }
@@ -172,7 +174,7 @@
   const auto ticket = ready.run().tickets.find(attempt.worker);
   Totals& totals = round.context.state.totals;
   ++totals.offers;
-  // Room that is booked for a gang is offered once more for the start.
+  // A gang's start is a second offer of its booked room; only it is counted.
   if (ticket != ready.run().tickets.end() && kind != OfferKind::kBooking) {
     ++totals.advice[ticket->second.reason].starts;
   }
@@ -187,12 +189,12 @@
                         .checkpoint = attempt.checkpoint});
 }
 
-Attempt FirstOf(const Task& task) {
+Attempt PrimaryAttempt(const Task& task) {
   return {
       .worker = task.worker, .run = task.run, .checkpoint = task.checkpoint};
 }
 
-std::uint64_t LastRun(const Task& task) {
+std::uint64_t HighestRun(const Task& task) {
   return std::max(task.run, task.last_copy);
 }
 
@@ -211,7 +213,7 @@
   task.run = run;
   task.worker = candidate.worker->id;
   task.since = round.context.now;
-  task.heard = round.context.now;
+  task.last_update = round.context.now;
   task.booked = false;
 }
 
@@ -219,26 +221,27 @@
   return task.phase == TaskPhase::kWaiting && task.retry_at <= context.now;
 }
 
-void PlaceSingles(Round& round, const ReadyStep& ready) {
+void PlaceIndependentTasks(Round& round, const ReadyStep& ready) {
   std::vector<Task>& tasks = ready.run().tasks;
   const bool any_due =
       std::any_of(tasks.begin(), tasks.end(),
                   [&](const Task& it) { return IsDue(round.context, it); });
-  // Most ready steps have all of their tasks out.
+  // Most ready steps have no task that waits.
   if (!any_due || !HasAnyTicket(round.context, ready)) {
     return;
   }
   PlacementNeed need = NeedOf(ready);
-  Choice choice{.ready = ready,
-                .open = OpenTo(round.context, ready, need,
-                               Candidates(round, ready.queue->service)),
-                .placed = CountPlaced(ready)};
+  Choice choice{
+      .ready = ready,
+      .eligible = EligibleWorkers(round.context, ready, need,
+                                  Candidates(round, ready.queue->service)),
+      .placed = CountPlaced(ready)};
   for (std::uint32_t it = 0; it < tasks.size(); ++it) {
     Task& task = tasks[it];
     if (!IsDue(round.context, task)) {
       continue;
     }
-    need.avoid = task.avoid;
+    need.avoid_worker = task.avoid_worker;
     choice.preempts = false;
     Candidate* best = Choose(choice, need);
     if (best == nullptr && MayPreempt(round.context, ready)) {
@@ -246,20 +249,22 @@
       best = Choose(choice, need);
     }
     if (best == nullptr) {
-      return;  // the others need as much
+      return;  // the other tasks need the same room
     }
     ++choice.placed[best->worker->id];
-    Assign(round, need.room, *best, task, NextRun(*ready.job, LastRun(task)));
+    Assign(round, need.room, *best, task,
+           NextRun(*ready.job, HighestRun(task)));
     if (choice.preempts) {
-      best->yielding -= need.room;
+      best->preemptible -= need.room;
       round.context.state.view[task.worker].yielding -= need.room;
     }
-    AddOffer(round, ready, it, FirstOf(task),
+    AddOffer(round, ready, it, PrimaryAttempt(task),
              choice.preempts ? OfferKind::kPreemption : OfferKind::kStart);
   }
 }
 
-// Only where room is left by the tasks that wait: a copy may be needless.
+// Places copies only in room that waiting tasks leave free, because a copy may
+// turn out unnecessary.
 void PlaceCopies(Round& round, const ReadyStep& ready) {
   std::vector<Task>& tasks = ready.run().tasks;
   for (std::uint32_t it = 0; it < tasks.size(); ++it) {
@@ -268,20 +273,21 @@
       continue;
     }
     const PlacementNeed need = NeedOf(ready);
-    const Choice choice{.ready = ready,
-                        .open = OpenTo(round.context, ready, need,
-                                       Candidates(round, ready.queue->service)),
-                        .placed = CountPlaced(ready),
-                        .not_on = task.worker};
+    const Choice choice{
+        .ready = ready,
+        .eligible = EligibleWorkers(round.context, ready, need,
+                                    Candidates(round, ready.queue->service)),
+        .placed = CountPlaced(ready),
+        .excluded_worker = task.worker};
     Candidate* best = Choose(choice, need);
     if (best == nullptr) {
       continue;
     }
     TakeRoom(round, need.room, *best);
     task.copy_wanted = false;
-    task.copy = TaskCopy{.run = NextRun(*ready.job, LastRun(task)),
+    task.copy = TaskCopy{.run = NextRun(*ready.job, HighestRun(task)),
                          .worker = best->worker->id,
-                         .heard = round.context.now};
+                         .last_update = round.context.now};
     AddOffer(round, ready, it,
              {.worker = task.copy->worker,
               .run = task.copy->run,
@@ -290,16 +296,16 @@
   }
 }
 
-bool AllIn(const StepRun& step, TaskPhase phase) {
+bool AllInPhase(const StepRun& step, TaskPhase phase) {
   return std::all_of(step.tasks.begin(), step.tasks.end(),
                      [phase](const Task& it) { return it.phase == phase; });
 }
 
-// Workers for all members, in the order of the tasks; nothing if not all fit.
+// Workers for all members, in the order of the tasks; empty if not all fit.
 std::vector<Candidate*> FitGang(const ReadyStep& ready,
-                                const std::vector<Candidate*>& open,
+                                const std::vector<Candidate*>& eligible,
                                 const std::string& rack) {
-  Choice choice{.ready = ready, .open = open};
+  Choice choice{.ready = ready, .eligible = eligible};
   PlacementNeed need = NeedOf(ready);
   need.rack = rack;
   std::vector<Candidate*> chosen;
@@ -324,17 +330,17 @@
 std::vector<Candidate*> FitGangAnywhere(const Round& round,
                                         const ReadyStep& ready,
                                         std::vector<Candidate>& candidates) {
-  const std::vector<Candidate*> open =
-      OpenTo(round.context, ready, NeedOf(ready), candidates);
+  const std::vector<Candidate*> eligible =
+      EligibleWorkers(round.context, ready, NeedOf(ready), candidates);
   if (!ready.spec().same_rack) {
-    return FitGang(ready, open, {});
+    return FitGang(ready, eligible, {});
   }
   std::set<std::string> racks;
-  for (const Candidate* it : open) {
+  for (const Candidate* it : eligible) {
     racks.insert(it->worker->rack());
   }
   for (const std::string& it : racks) {
-    auto chosen = FitGang(ready, open, it);
+    auto chosen = FitGang(ready, eligible, it);
     if (!chosen.empty()) {
       return chosen;
     }
@@ -362,7 +368,7 @@
     last = std::max(last, it.run);
   }
   step.gang_run = NextRun(*ready.job, last);
-  // All members resume from the same point.
+  // All members resume from the same checkpoint.
   std::string checkpoint;
   for (const Task& it : step.tasks) {
     checkpoint = std::max(checkpoint, it.checkpoint);
@@ -371,41 +377,43 @@
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
     step.tasks[it].checkpoint = checkpoint;
     Assign(round, room, *chosen[it], step.tasks[it], step.gang_run);
-    AddOffer(round, ready, it, FirstOf(step.tasks[it]), OfferKind::kBooking);
+    AddOffer(round, ready, it, PrimaryAttempt(step.tasks[it]),
+             OfferKind::kBooking);
   }
 }
 
-// Once all room is booked all members are started at once: members that come
-// late let those before them wait, and end when it takes too long.
+// Starts all members together once room is booked for each of them: members
+// that start early wait for the late ones, and end if that takes too long.
 void StartGang(Round& round, const ReadyStep& ready) {
   StepRun& step = ready.run();
   const bool all_booked = std::all_of(step.tasks.begin(), step.tasks.end(),
                                       [](const Task& it) { return it.booked; });
-  if (!all_booked || step.gang_started == step.gang_run) {
+  if (!all_booked || step.gang_started_run == step.gang_run) {
     return;
   }
-  step.gang_started = step.gang_run;
+  step.gang_started_run = step.gang_run;
   round.context.Log(EventNumber::kGangStarted,
                     {{"job", ready.job->id},
                      {"step", std::to_string(ready.step)},
                      {"run", std::to_string(step.gang_run)},
                      {"tasks", std::to_string(step.tasks.size())}});
   for (std::uint32_t it = 0; it < step.tasks.size(); ++it) {
-    step.tasks[it].heard = round.context.now;
-    AddOffer(round, ready, it, FirstOf(step.tasks[it]), OfferKind::kStart);
+    step.tasks[it].last_update = round.context.now;
+    AddOffer(round, ready, it, PrimaryAttempt(step.tasks[it]),
+             OfferKind::kStart);
   }
 }
 
 void PlaceGang(Round& round, const ReadyStep& ready) {
-  if (AllIn(ready.run(), TaskPhase::kWaiting)) {
+  if (AllInPhase(ready.run(), TaskPhase::kWaiting)) {
     BookGang(round, ready);
-  } else if (AllIn(ready.run(), TaskPhase::kOffered)) {
+  } else if (AllInPhase(ready.run(), TaskPhase::kOffered)) {
     StartGang(round, ready);
   }
 }
 
-// All tasks of the step are out or done, and by their estimate the last ones
-// end within `lead`.
+// All tasks of the step are running or done, and by their estimate the last
+// ones end within `lead`.
 bool EndsSoon(const Context& context,
               Job& job,
               std::uint32_t occurrence,
@@ -499,14 +507,14 @@
 
 bool MayPreempt(const Context& context, const ReadyStep& ready) {
   return ready.queue->priority == 0 && ready.run().ready_at != kForever &&
-         HasPassed(context.now, ready.run().ready_at, kPreemptAfter);
+         HasPassed(context.now, ready.run().ready_at, kPreemptionDelay);
 }
 
 PlacementNeed NeedOf(const ReadyStep& ready) {
   return {.step = &ready.spec(),
           .room = RoomOf(ready.spec()),
           .speed_weight = SpeedWeight(ready.queue->stretch),
-          .reserve =
+          .reserved_share =
               kReservePerPriority * static_cast<double>(ready.queue->priority)};
 }
 
@@ -530,7 +538,7 @@
 
 void DrivePlacement(Context& context) {
   const Duration pause =
-      context.state.placement_due ? kPlacementInterval : kIdleRound;
+      context.state.placement_due ? kPlacementInterval : kIdlePlacementInterval;
   if (!HasPassed(context.now, context.state.placed_at, pause) ||
       !IsRegistered(context.state)) {
     return;
@@ -542,16 +550,16 @@
     if (!it.job->stored || !it.job->verified) {
       continue;
     }
-    // A worker that was not heard of yet may list failed runs: started again
-    // now, a task would have more runs than its queue allows. Lasting ones have
-    // no such limit.
+    // A worker that has not reported yet may list failed runs of the job.
+    // Starting a task again before that could exceed the attempts that its
+    // queue allows. Lasting tasks have no such limit.
     if (it.job->recovering && !it.spec().lasting) {
       continue;
     }
     if (it.spec().gang) {
       PlaceGang(round, it);
     } else {
-      PlaceSingles(round, it);
+      PlaceIndependentTasks(round, it);
       PlaceCopies(round, it);
     }
   }
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool CanYield(const LocalRun& run) {
+bool IsPreemptible(const LocalRun& run) {
   return run.phase == RunPhase::kRunning && run.described && run.priority > 0 &&
          run.spec.checkpointing && !run.spec.gang && !run.spec.lasting &&
          !run.spec.filling;
@@ -21,11 +21,12 @@
   LocalRun* run = nullptr;
 };
 
-// The least urgent first, and of these the ones that have run the shortest.
+// Lowest priority first; within a priority, the shortest time in its phase
+// first.
 std::vector<Victim> VictimsOf(OwnedWorker& worker) {
   std::vector<Victim> victims;
   for (auto& [task, run] : worker.runs) {
-    if (CanYield(run)) {
+    if (IsPreemptible(run)) {
       victims.push_back({.task = &task, .run = &run});
     }
   }
@@ -37,8 +38,8 @@
   return victims;
 }
 
-// What will be free when all that is being stopped has ended.
-Resources FutureRoom(const OwnedWorker& worker) {
+// Room that will be free when all runs that are being stopped have ended.
+Resources RoomAfterStops(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
     if (run.phase == RunPhase::kStopping) {
@@ -48,8 +49,8 @@
   return free;
 }
 
-// What the worker has left beside everything that is there now.
-Resources PresentRoom(const OwnedWorker& worker) {
+// Room that is free now: runs that wait for room do not use theirs yet.
+Resources CurrentRoom(const OwnedWorker& worker) {
   Resources free = FreeRoom(worker);
   for (const auto& [task, run] : worker.runs) {
     if (run.phase == RunPhase::kAwaitingRoom) {
@@ -61,10 +62,10 @@
 
 }  // namespace
 
-Resources YieldingRoom(const OwnedWorker& worker) {
+Resources PreemptibleRoom(const OwnedWorker& worker) {
   Resources room;
   for (const auto& [task, run] : worker.runs) {
-    if (CanYield(run)) {
+    if (IsPreemptible(run)) {
       room += RoomOf(run.spec);
     }
   }
@@ -75,7 +76,7 @@
               const std::string& id,
               OwnedWorker& worker,
               const Resources& room) {
-  Resources free = FutureRoom(worker);
+  Resources free = RoomAfterStops(worker);
   std::vector<Victim> chosen;
   for (const Victim& it : VictimsOf(worker)) {
     if (Fits(room, free)) {
@@ -98,15 +99,15 @@
   return true;
 }
 
-void DriveAwaiting(Context& context,
-                   const std::string& id,
-                   OwnedWorker& worker) {
+void DriveRunsAwaitingRoom(Context& context,
+                           const std::string& id,
+                           OwnedWorker& worker) {
   std::vector<std::string> late;
   for (auto& [task, run] : worker.runs) {
     if (run.phase != RunPhase::kAwaitingRoom) {
       continue;
     }
-    if (Fits(RoomOf(run.spec), PresentRoom(worker))) {
+    if (Fits(RoomOf(run.spec), CurrentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
       OrderStart(context, id, worker, task, run);
     } else if (HasPassed(context.now, run.since, kStartPatience)) {
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -87,7 +87,7 @@
 
 // Whether a report of a member, or one that covers a worker, is missing.
 bool AwaitsReports(const Job& job) {
-  return !job.uncovered.empty() || !job.unheard.empty();
+  return !job.unreported_workers.empty() || !job.awaited_members.empty();
 }
 
 // One round of queries for all recovering jobs.
@@ -123,7 +123,7 @@
 std::set<std::string> MembersToQuery(const Context& context,
                                      const Job& job,
                                      QueryRound& round) {
-  std::set<std::string> members = job.unheard;
+  std::set<std::string> members = job.awaited_members;
   if (round.unseen) {
     const std::set<std::string>& reported_by = context.state.unseen.told_by;
     for (const std::string& it : OtherMembers(context)) {
@@ -139,7 +139,7 @@
     }
     return members;
   }
-  for (const std::uint32_t it : job.uncovered.Numbers()) {
+  for (const std::uint32_t it : job.unreported_workers.Numbers()) {
     const std::string& owner = ClaimedOwner(context, it, round);
     if (!owner.empty()) {
       members.insert(owner);
@@ -156,15 +156,15 @@
     job.confirmed_at = context.now;
     MarkChanged(context, job, true);
   }
-  job.asked = true;
-  job.uncovered.EraseIf([&](std::uint32_t it) {
+  job.members_queried = true;
+  job.unreported_workers.EraseIf([&](std::uint32_t it) {
     return !MayRunTasks(context.state,
                         context.state.recovery.numbers.NameOf(it));
   });
   if (!AwaitsReports(job) && !round.unseen) {
     return;
   }
-  round.uncovered.InsertAll(job.uncovered);
+  round.uncovered.InsertAll(job.unreported_workers);
   for (const std::string& it : MembersToQuery(context, job, round)) {
     round.queries[it].jobs.push_back(
         {.job = job.id, .generation = job.generation});
@@ -235,14 +235,15 @@
   job.recovering = true;
   for (const auto& [worker, it] : context.state.workers) {
     if (MayRunTasks(context.state, worker)) {
-      job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
+      job.unreported_workers.Insert(
+          context.state.recovery.numbers.NumberOf(worker));
     }
   }
   // Each member may own workers that this instance has never seen in the list.
   for (const std::string& it : OtherMembers(context)) {
-    job.unheard.insert(it);
+    job.awaited_members.insert(it);
   }
-  job.unheard.insert(context.self());
+  job.awaited_members.insert(context.self());
 }
 
 void DriveRecovery(Context& context) {
@@ -259,7 +260,7 @@
     if (!job.recovering) {
       continue;
     }
-    std::erase_if(job.unheard, [&](const std::string& member) {
+    std::erase_if(job.awaited_members, [&](const std::string& member) {
       return FindMember(context.state, member) == nullptr;
     });
     if (!AwaitsReports(job)) {
@@ -272,7 +273,7 @@
       }
     }
     recovering = true;
-    if (query_due || !job.asked) {
+    if (query_due || !job.members_queried) {
       AddToRound(context, job, round);
     }
   }
@@ -314,9 +315,9 @@
     if (job == nullptr || !job->recovering) {
       continue;
     }
-    job->unheard.erase(from);
+    job->awaited_members.erase(from);
     for (const std::uint32_t it : covered) {
-      job->uncovered.Erase(it);
+      job->unreported_workers.Erase(it);
     }
   }
 }
@@ -328,7 +329,8 @@
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
     if (job.recovering) {
-      job.uncovered.Insert(context.state.recovery.numbers.NumberOf(worker));
+      job.unreported_workers.Insert(
+          context.state.recovery.numbers.NumberOf(worker));
     }
   }
 }
@@ -339,7 +341,7 @@
     return;
   }
   for (const std::string& id : context.state.active) {
-    context.state.jobs.at(id).uncovered.Erase(*number);
+    context.state.jobs.at(id).unreported_workers.Erase(*number);
   }
 }
 
--- a/Source/engine/jobs/run_queries.cc
+++ b/Source/engine/jobs/run_queries.cc
@@ -60,7 +60,7 @@
   KnownJob& known = context.state.known[name->job];
   if (HasPassed(context.now, known.reviewed, kOwnerCheckInterval)) {
     known.reviewed = context.now;
-    WantRecord(context, name->job);
+    RequestRecord(context, name->job);
   }
 }
 
--- a/Source/engine/jobs/step_waits.cc
+++ b/Source/engine/jobs/step_waits.cc
@@ -42,7 +42,8 @@
          (task.phase == TaskPhase::kUnknown && ready.job->recovering);
 }
 
-// Nothing of the step may start before all that may run it was heard of.
+// No task of the step may start before all workers that may run it have
+// reported. Lasting tasks known to have no run are exempt.
 bool WaitsForRecovery(const ReadyStep& ready) {
   const auto& tasks = ready.run().tasks;
   return ready.job->recovering &&
@@ -64,7 +65,7 @@
   if (all_pause) {
     return WaitCause::kPause;
   }
-  // A gang starts as a whole.
+  // All tasks of a gang start together.
   const std::size_t least = ready.spec().gang ? ready.run().tasks.size() : 1;
   const std::size_t usable = ready.queue->advice ? wait.ticketed : wait.room;
   if (usable >= least) {
@@ -73,7 +74,7 @@
   if (wait.room < least) {
     return WaitCause::kRoom;
   }
-  return ready.run().asking ? WaitCause::kAdvice : WaitCause::kTickets;
+  return ready.run().advice_pending ? WaitCause::kAdvice : WaitCause::kTickets;
 }
 
 }  // namespace
@@ -119,8 +120,8 @@
   }
   CountRoom(context, ready, wait);
   wait.denied = ready.run().denied.size();
-  if (ready.run().asked_at != Time::min()) {
-    wait.asked = context.now - ready.run().asked_at;
+  if (ready.run().advice_checked_at != Time::min()) {
+    wait.since_advice_check = context.now - ready.run().advice_checked_at;
   }
   wait.cause = CauseOf(ready, wait, all_pause);
   return wait;
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-// An owner that is gone is replaced within a second or so.
-constexpr Duration kRecordAge = milliseconds(150);
-// Entries that nobody asked for are forgotten.
-constexpr Duration kKept = milliseconds(60'000);
-// Whose a job is that has neither runs nor ends here counts for messages that
-// are late, and for former owners that do not know yet that they are. They have
-// given up after kMaxWithoutStore; fifty times as long costs little memory.
-constexpr Duration kKnownKept = milliseconds(600'000);
+// Shortest interval between two reads of a record: a lost owner is replaced
+// within about a second.
+constexpr Duration kRecordReadInterval = milliseconds(150);
+// Entries that were not used for this long are removed.
+constexpr Duration kEntryTtl = milliseconds(60'000);
+// The owner of a job without runs or ends here is still needed for late
+// messages and for former owners that do not know yet that they were replaced.
+// These have given up after kMaxWithoutStore; fifty times that costs little
+// memory.
+constexpr Duration kKnownJobTtl = milliseconds(600'000);
 
 std::size_t ReadsInFlight(const State& state) {
   std::size_t n = 0;
@@ -28,24 +30,26 @@
   return n;
 }
 
-// How many reads it has begun.
-std::size_t Read(Context& context,
-                 const std::string& job,
-                 CatalogEntry& entry) {
+// Starts the reads that the entry needs now. Returns their number.
+std::size_t StartReads(Context& context,
+                       const std::string& job,
+                       CatalogEntry& entry) {
   std::size_t reads = 0;
   if (entry.want_record && !entry.reading_record &&
-      HasPassed(context.now, entry.read_at, kRecordAge)) {
+      HasPassed(context.now, entry.read_at, kRecordReadInterval)) {
     entry.want_record = false;
     entry.reading_record = true;
     entry.read_at = context.now;
     ++reads;
-    AskStore(context, StoreRead{.key = JobKey(job)}, ForJobRead{.job = job});
+    SendStoreRequest(context, StoreRead{.key = JobKey(job)},
+                     ForJobRead{.job = job});
   }
   if (entry.want_spec && !entry.reading_spec) {
     entry.want_spec = false;
     entry.reading_spec = true;
     ++reads;
-    AskStore(context, StoreRead{.key = SpecKey(job)}, ForSpecRead{.job = job});
+    SendStoreRequest(context, StoreRead{.key = SpecKey(job)},
+                     ForSpecRead{.job = job});
   }
   return reads;
 }
@@ -59,10 +63,10 @@
   return std::holds_alternative<StoreAbsent>(answer);
 }
 
-// Runs and ends on own workers learn from it whose they are.
-void TellKnown(Context& context,
-               const std::string& job,
-               const CatalogEntry& entry) {
+// Updates the owner to which runs and ends on own workers are reported.
+void UpdateKnownJob(Context& context,
+                    const std::string& job,
+                    const CatalogEntry& entry) {
   const auto it = context.state.known.find(job);
   if (it == context.state.known.end()) {
     return;
@@ -79,9 +83,9 @@
   }
 }
 
-// Each job of which a task ran here leaves an entry. Small instances have 160
-// MB, and would run out of it within days.
-void ForgetKnown(Context& context) {
+// Each job of which a task ran here adds an entry. Without removal, small
+// instances with 160 MB of memory would exhaust it within days.
+void RemoveUnusedKnownJobs(Context& context) {
   auto& known = context.state.known;
   const auto keep = [&](const std::string& task) {
     const auto name = ParseTaskName(task);
@@ -102,7 +106,7 @@
     it.heard = it.heard == Time(0) ? context.now : it.heard;
   }
   std::erase_if(known, [&](const auto& it) {
-    return HasPassed(context.now, it.second.heard, kKnownKept);
+    return HasPassed(context.now, it.second.heard, kKnownJobTtl);
   });
 }
 
@@ -118,7 +122,7 @@
   known.generation = generation;
 }
 
-void WantRecord(Context& context, const std::string& job) {
+void RequestRecord(Context& context, const std::string& job) {
   if (job.empty()) {
     return;
   }
@@ -128,7 +132,7 @@
   context.state.catalog_wanted.insert(job);
 }
 
-void WantSpec(Context& context, const std::string& job) {
+void RequestSpec(Context& context, const std::string& job) {
   CatalogEntry& entry = context.state.catalog[job];
   entry.used = context.now;
   if (entry.spec) {
@@ -148,7 +152,7 @@
   std::erase_if(wanted, [&](const std::string& job) {
     const auto it = context.state.catalog.find(job);
     if (it != context.state.catalog.end() && reads < kMaxReadsInFlight) {
-      reads += Read(context, job, it->second);
+      reads += StartReads(context, job, it->second);
     }
     return it == context.state.catalog.end() ||
            (!it->second.want_record && !it->second.want_spec);
@@ -156,11 +160,11 @@
 }
 
 void ForgetUnused(Context& context) {
-  ForgetKnown(context);
+  RemoveUnusedKnownJobs(context);
   std::erase_if(context.state.catalog, [&](const auto& it) {
     const CatalogEntry& entry = it.second;
     return !entry.reading_record && !entry.reading_spec &&
-           HasPassed(context.now, entry.used, kKept);
+           HasPassed(context.now, entry.used, kEntryTtl);
   });
 }
 
@@ -183,11 +187,11 @@
     entry.record.reset();
     entry.absent = true;
   } else {
-    WantRecord(context, job);
+    RequestRecord(context, job);
     return;
   }
   entry.known_from = entry.read_at;
-  TellKnown(context, job, entry);
+  UpdateKnownJob(context, job, entry);
   OnRecordRead(context, job);
 }
 
@@ -206,7 +210,7 @@
     entry.spec = std::get<JobSpec>(std::move(decoded));
     DescribeRuns(context, job, *entry.spec);
   } else if (!IsAbsent(answer)) {
-    WantSpec(context, job);
+    RequestSpec(context, job);
   }
 }
 
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -9,31 +9,31 @@
 
 namespace {
 
-// A record stays four minutes after its job's end; half a minute more does no
-// harm, and a sweep's stale reads cost a tenth of others.
+// A record is kept for four minutes after its job's end, so half a minute more
+// is harmless. A sweep's stale reads cost a tenth of other reads.
 constexpr Duration kSweepInterval = milliseconds(30'000);
-// The wall clocks of instances differ, and may jump by seconds.
+// Wall clocks differ between instances and may jump by seconds.
 constexpr Duration kClockMargin = milliseconds(60'000);
-// Of one page; the next sweep takes more.
+// Per page; the next sweep removes more.
 constexpr std::size_t kMaxRemovals = 100;
 
-constexpr const char* kDuty = "record sweep";
+constexpr const char* kSweepTask = "record sweep";
 
 void ReadPage(Context& context) {
   SweepState& sweep = context.state.sweep;
   sweep.in_flight = true;
-  AskStore(context,
-           StoreRange{.prefix = std::string(kJobPrefix),
-                      .after = sweep.after,
-                      .may_be_stale = true},
-           ForSweep{});
+  SendStoreRequest(context,
+                   StoreRange{.prefix = std::string(kJobPrefix),
+                              .after = sweep.after,
+                              .may_be_stale = true},
+                   ForSweep{});
 }
 
-bool IsLeftOver(const Context& context, const JobRecord& record) {
+bool IsExpired(const Context& context, const JobRecord& record) {
   const Duration kept = 2 * context.state.options.bounds.state_kept;
-  const std::int64_t gone_at =
+  const std::int64_t expires_ms =
       record.ended_ms + ToMilliseconds(kept + kClockMargin);
-  return IsFinal(record.state) && context.wall_ms > gone_at &&
+  return IsFinal(record.state) && context.wall_ms > expires_ms &&
          FindMember(context.state, record.owner) == nullptr;
 }
 
@@ -45,7 +45,7 @@
                      .removes = {JobKey(job), SpecKey(job)}});
 }
 
-void RemoveLeftOvers(Context& context, const std::vector<StoreItem>& items) {
+void RemoveExpired(Context& context, const std::vector<StoreItem>& items) {
   std::size_t removed = 0;
   for (const StoreItem& it : items) {
     const auto decoded = DecodeJob(it.value);
@@ -56,7 +56,7 @@
                    {"problem", ToString(std::get<DecodeError>(decoded))}});
       continue;
     }
-    if (removed < kMaxRemovals && IsLeftOver(context, *record)) {
+    if (removed < kMaxRemovals && IsExpired(context, *record)) {
       ++removed;
       Remove(context, it.key.substr(kJobPrefix.size()), it.revision);
     }
@@ -73,7 +73,7 @@
     return;
   }
   sweep.swept_at = context.now;
-  if (ChooseMember(context.state, kDuty, {}) == context.self()) {
+  if (ChooseMember(context.state, kSweepTask, {}) == context.self()) {
     sweep.after.clear();
     ReadPage(context);
   }
@@ -84,9 +84,9 @@
   sweep.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
-    return;  // the next sweep comes to it again
+    return;  // the next sweep reads it again
   }
-  RemoveLeftOvers(context, page->items);
+  RemoveExpired(context, page->items);
   if (page->more && !page->items.empty()) {
     sweep.after = page->items.back().key;
     ReadPage(context);
--- a/Source/engine/records/record_writer.cc
+++ b/Source/engine/records/record_writer.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-// Every transaction is bound to the own registration: an instance that the
-// others take for gone must not write any more, or a job that it accepts
-// meanwhile would be missed by those that take its work over.
+// Every transaction is conditional on this instance's registration. An instance
+// that the others have declared lost must not write any more: the members that
+// take over its work would miss a job that it accepts after that.
 StoreCondition OwnCondition(const Context& context) {
   return {.key = MemberKey(context.self()),
           .revision = context.state.members.fence};
@@ -89,8 +89,9 @@
   return it == items.end() ? StoreItem{.key = key} : it->second;
 }
 
-// The first condition that does not hold.
-std::optional<StoreItem> Failed(const Change& change, const Items& items) {
+// The stored item of the first condition that does not hold.
+std::optional<StoreItem> FailedCondition(const Change& change,
+                                         const Items& items) {
   for (const StoreCondition& it : change.conditions) {
     StoreItem item = ItemAt(items, it.key);
     if (item.revision != it.revision) {
@@ -100,7 +101,7 @@
   return std::nullopt;
 }
 
-// What an earlier try of the same change would have left there.
+// Whether the item is what an earlier attempt of the same change wrote.
 bool IsOwnWrite(const Change& change, const StoreItem& item) {
   return std::any_of(change.puts.begin(), change.puts.end(),
                      [&](const StorePut& put) {
@@ -124,11 +125,11 @@
   if (own.revision == 0) {
     LoseRegistration(context, "not in the store");
   }
-  std::vector<Change> again;
+  std::vector<Change> retry;
   for (Change& it : batch.changes) {
-    const auto failed = Failed(it, items);
+    const auto failed = FailedCondition(it, items);
     if (!failed) {
-      again.push_back(std::move(it));
+      retry.push_back(std::move(it));
     } else if (it.may_be_done && IsOwnWrite(it, *failed)) {
       context.Log(EventNumber::kLostAnswerSettled,
                   {{"job", it.job}, {"outcome", "written"}});
@@ -137,13 +138,14 @@
       OnChangeConflict(context, it, *failed);
     }
   }
-  Requeue(context, std::move(again));
+  Requeue(context, std::move(retry));
 }
 
-// Each instance takes an equal part of the budget. A flood of changes waits in
-// the queue and goes out in larger batches; without this bound the store
-// refuses calls, also those of others, and every refused call is repeated.
-bool TakeAllowance(Context& context) {
+// Takes one transaction from the token bucket of the write rate, of which each
+// instance has an equal share. A burst of changes waits in the queue and is
+// sent in larger batches. Without this limit the store refuses calls, also
+// those of other clients, and every refused call is repeated.
+bool TakeWriteToken(Context& context) {
   WriterState& writer = context.state.writer;
   const auto members = static_cast<double>(
       std::max<std::size_t>(context.state.members.present.size(), 1));
@@ -168,16 +170,17 @@
 
 void DriveWriter(Context& context) {
   WriterState& writer = context.state.writer;
-  // While the fence is being raised a transaction would be bound to the old
-  // one.
-  const bool raising = context.state.members.raising;
-  while (!writer.queue.empty() && IsRegistered(context.state) && !raising &&
+  // While the fence is being advanced a transaction would be conditional on the
+  // old fence.
+  const bool advancing = context.state.members.raising;
+  while (!writer.queue.empty() && IsRegistered(context.state) && !advancing &&
          context.now >= writer.retry_at &&
          writer.in_flight.size() < kMaxTransactionsInFlight &&
-         TakeAllowance(context)) {
+         TakeWriteToken(context)) {
     Batch batch = TakeBatch(context);
     const std::uint64_t id = ++writer.last_batch;
-    AskStore(context, TransactionOf(context, batch), ForBatch{.batch = id});
+    SendStoreRequest(context, TransactionOf(context, batch),
+                     ForBatch{.batch = id});
     writer.in_flight.emplace(id, std::move(batch));
   }
 }
--- a/Tests/engine/watches_test.cc
+++ b/Tests/engine/watches_test.cc
@@ -1,4 +1,4 @@
-// How the lists in the store are followed.
+// Tests of the watches on the lists in the store.
 #include <doctest/doctest.h>
 
 #include "engine/records/watches.h"
@@ -10,8 +10,8 @@
 
 using std::chrono::seconds;
 
-// The entry of a worker is "N" or "N draining", with the number of its
-// heartbeat.
+// Feeds the watch of workers. A worker's entry is "N" or "N draining", where N
+// is the number of its heartbeat.
 struct Follower {
   Follower() {
     EngineOptions options;
@@ -38,7 +38,7 @@
         .state = state, .effects = effects, .now = seconds(1000), .wall_ms = 0};
     OnWatchAnswer(context, WatchedList::kWorkers, done);
   }
-  void Tell(const std::string& text) {
+  void PutEntry(const std::string& text) {
     Answer({.items = {{.key = "worker/w1", .value = text, .revision = ++last}},
             .revision = last});
   }
@@ -50,34 +50,37 @@
 
 }  // namespace
 
-// On a site with 350 workers each of 30 instances read 233 entries a second of
-// which only the heartbeat's number had changed.
-TEST_CASE("A worker's heartbeat is not read, what it changes is") {
+// Guards against needless decoding: on a site with 350 workers, each of 30
+// instances decoded 233 entries per second in which only the heartbeat's number
+// had changed.
+TEST_CASE(
+    "A worker's entry is decoded only if more than its heartbeat changed") {
   Follower follower;
-  follower.Tell("1");
+  follower.PutEntry("1");
   CHECK(follower.decoded == 1);
-  follower.Tell("2");
-  follower.Tell("3");
+  follower.PutEntry("2");
+  follower.PutEntry("3");
   CHECK(follower.decoded == 1);
-  follower.Tell("4 draining");
+  follower.PutEntry("4 draining");
   CHECK(follower.decoded == 2);
   CHECK(follower.state.workers.at("w1").info.draining);
-  follower.Tell("5 draining");
+  follower.PutEntry("5 draining");
   CHECK(follower.decoded == 2);
 }
 
-// A worker that lost its path to the store for a while comes back with an entry
-// like the one before.
-TEST_CASE("A worker that comes back with the same entry is listed again") {
+// A worker that could not reach the store for a while is removed from the list
+// and then writes the same entry as before. It must not be taken for a
+// heartbeat and ignored.
+TEST_CASE("A worker that returns with the same entry is listed again") {
   Follower follower;
-  follower.Tell("1");
+  follower.PutEntry("1");
   follower.Answer(
       {.removed = {{.key = "worker/w1", .revision = 2}}, .revision = 2});
   CHECK_FALSE(follower.state.workers.at("w1").listed);
-  follower.Tell("2");
+  follower.PutEntry("2");
   CHECK(follower.state.workers.at("w1").listed);
-  follower.state.workers.erase("w1");  // taken for gone
-  follower.Tell("3");
+  follower.state.workers.erase("w1");  // declared lost
+  follower.PutEntry("3");
   CHECK(follower.state.workers.contains("w1"));
   CHECK(follower.decoded == 3);
 }
