--- a/Source/engine/call_codec.cc
+++ b/Source/engine/call_codec.cc
@@ -35,7 +35,7 @@
 Json::Value Envelope() {
   Json::Value envelope(Json::objectValue);
   envelope["jsonrpc"] = Json::StaticString("2.0");
-  envelope["id"] = 1;  // one call a connection at a time
+  envelope["id"] = 1;  // constant: a connection has one call at a time
   return envelope;
 }
 
--- a/Source/engine/call_codec.h
+++ b/Source/engine/call_codec.h
@@ -1,12 +1,13 @@
-// The engine's calls to the store, to workers and to the advice service on
-// burdockrock's own wire: JSON-RPC 2.0 over HTTP, one call a body.
+// Codec of the engine's calls to the store, to workers, to the advice service
+// and to the service of machines in burdockrock's own protocol: JSON-RPC 2.0
+// over HTTP, one call per body.
 //
 //   {"jsonrpc":"2.0","id":1,"method":"read","params":{"key":"job/7"}}
 //   {"jsonrpc":"2.0","id":1,"result":{"outcome":"absent","value":{}}}
 //
-// The methods of a store are read, range, watch, transaction, grant_lease,
-// renew_lease and end_lease; of a worker hold, start, stop and pace; of the
-// advice service advise; of the service of machines list, upkeep and move.
+// Methods of a store: read, range, watch, transaction, grant_lease, renew_lease
+// and end_lease; of a worker: hold, start, stop and pace; of the advice
+// service: advise; of the service of machines: list, upkeep and move.
 #ifndef BURDOCKROCK_ENGINE_CALL_CODEC_H_
 #define BURDOCKROCK_ENGINE_CALL_CODEC_H_
 
@@ -20,7 +21,7 @@
 
 namespace burdockrock::engine {
 
-// A call to one life of a worker.
+// A call to one incarnation of a worker.
 struct AddressedWorkerRequest {
   std::string worker{};  // its id
   WorkerRequest request{};
@@ -34,13 +35,13 @@
 HttpRequest EncodeMachineCall(const std::string& holder,
                               const MachineRequest& request);
 
-// What is no answer of the protocol counts as unanswered.
+// A response that does not follow the protocol counts as no reply.
 StoreAnswer DecodeStoreResult(const HttpResult& result);
 WorkerAnswer DecodeWorkerResult(const HttpResult& result);
 AdviceAnswer DecodeAdviceResult(const HttpResult& result);
 MachineAnswer DecodeMachineResult(const HttpResult& result);
 
-// The serving side, for stand-ins.
+// The server's side, for stand-ins of the services.
 Decoded<StoreRequest> DecodeStoreCall(std::string_view body);
 Decoded<AddressedWorkerRequest> DecodeWorkerCall(std::string_view body);
 Decoded<AdviceRequest> DecodeAdviceCall(std::string_view body);
--- a/Source/engine/call_fields.h
+++ b/Source/engine/call_fields.h
@@ -1,5 +1,5 @@
-// The members of the engine's calls, and of the documents that operators and
-// workers keep in the store, in JSON.
+// JSON fields of the engine's calls, and of the documents that operators and
+// workers keep in the store.
 #ifndef BURDOCKROCK_ENGINE_CALL_FIELDS_H_
 #define BURDOCKROCK_ENGINE_CALL_FIELDS_H_
 
--- a/Source/engine/calls.h
+++ b/Source/engine/calls.h
@@ -1,5 +1,5 @@
-// What the engine asks of the store, of workers and of the advice service, and
-// what comes back.
+// Requests to the store, workers, the advice service and the service of
+// machines, requests of callers, and the replies to all of them.
 #ifndef BURDOCKROCK_ENGINE_CALLS_H_
 #define BURDOCKROCK_ENGINE_CALLS_H_
 
@@ -46,22 +46,24 @@
   auto operator<=>(const StoreRead&) const = default;
 };
 
-// One page, from behind the key `after`.
+// Reads one page of the entries with the prefix, beginning after the key
+// `after`.
 struct StoreRange {
   std::string prefix{};
   std::string after{};
-  bool may_be_stale = false;  // cheaper, seconds old
+  bool may_be_stale = false;  // cheaper; the entries may be seconds old
   auto operator<=>(const StoreRange&) const = default;
 };
 
+// Long poll for changes after a revision.
 struct StoreWatch {
   std::string prefix{};
   std::uint64_t after = 0;  // a revision
-  Duration wait{0};
+  Duration wait{0};         // longest time without a change
   auto operator<=>(const StoreWatch&) const = default;
 };
 
-// All or nothing.
+// Atomic: if all conditions hold, all puts and removes are applied.
 struct StoreTransaction {
   std::vector<StoreCondition> conditions{};
   std::vector<StorePut> puts{};
@@ -99,34 +101,35 @@
   auto operator<=>(const StoreRemoval&) const = default;
 };
 
-// The call was carried out. Which members count depends on the request.
+// The request succeeded. Which fields are set depends on the request.
 struct StoreDone {
-  std::vector<StoreItem> items{};       // read; of a watch, revision 0 in none
+  std::vector<StoreItem> items{};       // a watch returns none with revision 0
   std::vector<StoreRemoval> removed{};  // of a watch
-  bool more = false;                    // of a range: there are more pages
+  bool more = false;                    // of a range: more pages follow
   std::uint64_t revision = 0;           // of the store, or of the transaction
   std::uint64_t lease = 0;
   auto operator<=>(const StoreDone&) const = default;
 };
 
-// A condition does not hold; the conditions' items as they are.
+// A condition does not hold. `items` has the current items of the conditions.
 struct StoreConflict {
   std::vector<StoreItem> items{};
   auto operator<=>(const StoreConflict&) const = default;
 };
 
-// No such lease, key or history any more.
+// The lease or key does not exist, or the store no longer has the history that
+// the watch asks for.
 struct StoreAbsent {
   auto operator<=>(const StoreAbsent&) const = default;
 };
 
-// Nothing was done: refused, or not sent.
+// The request was refused or not sent, and had no effect.
 struct StoreRefused {
   std::string detail{};
   auto operator<=>(const StoreRefused&) const = default;
 };
 
-// No answer: it may have been carried out, or may be later.
+// No reply: the request may have taken effect, or may still do so.
 struct StoreUnknown {
   std::string detail{};
   auto operator<=>(const StoreUnknown&) const = default;
@@ -137,13 +140,13 @@
 
 // Workers.
 
-// Takes or renews the ownership with everything that runs there, and reads
-// what runs and what ended.
+// A long poll that takes or renews the ownership of the worker and the lease of
+// its runs, and returns the runs and their ends.
 struct HoldWorker {
   std::uint64_t fence = 0;
-  std::uint64_t acknowledged = 0;   // ends up to here may be forgotten
+  std::uint64_t acknowledged = 0;   // ends up to this sequence may be dropped
   std::int64_t lease_until_ms = 0;  // on the worker's clock; 0: no renewal
-  Duration wait{0};                 // for an end
+  Duration wait{0};                 // longest time until an end is listed
   auto operator<=>(const HoldWorker&) const = default;
 };
 
@@ -165,7 +168,7 @@
   auto operator<=>(const StopRun&) const = default;
 };
 
-// Lets a run work at a share of its speed.
+// Limits a run to a percentage of its full speed.
 struct PaceRun {
   std::string task{};
   std::uint64_t run = 0;
@@ -176,15 +179,17 @@
 
 using WorkerRequest = std::variant<HoldWorker, StartRun, StopRun, PaceRun>;
 
+// A run in a worker's listing.
 struct RunningRow {
   std::string task{};
   std::uint64_t run = 0;
   std::string checkpoint{};
-  std::uint32_t percent = 0;  // of its pace; what it is otherwise says the row
-  std::int64_t figure = 0;    // tail in ms, or processors in use
+  std::uint32_t percent = 0;  // progress
+  std::int64_t figure = 0;    // tail latency in ms, or processors in use
   auto operator<=>(const RunningRow&) const = default;
 };
 
+// An ended run in a worker's listing.
 struct EndedRow {
   std::uint64_t sequence = 0;
   std::string task{};
@@ -194,33 +199,34 @@
   auto operator<=>(const EndedRow&) const = default;
 };
 
-// The worker took the order.
+// The worker accepted the command or answered the poll.
 struct WorkerDone {
   std::int64_t clock_ms = 0;          // the worker's steady clock
-  std::vector<RunningRow> running{};  // of a hold
-  std::vector<EndedRow> ended{};      // of a hold
+  std::vector<RunningRow> running{};  // of a poll
+  std::vector<EndedRow> ended{};      // of a poll
   auto operator<=>(const WorkerDone&) const = default;
 };
 
 enum class WorkerRefusalKind {
   kFenced,  // another owner has a higher fence
-  kOldRun,  // a run as high ended there
-  kLate,    // the lease would already have ended
+  kOldRun,  // a run with this or a higher number has ended there
+  kLate,    // the requested lease has already expired
   kNoRoom,
   kBadTicket,
   kInvalid,
-  kUnhealthy,  // it does nothing at the moment
-  kReplaced,   // another life of the worker answers there
+  kUnhealthy,  // it carries out nothing at present
+  kReplaced,   // another incarnation of the worker answers there
 };
 
 const char* WorkerRefusalName(WorkerRefusalKind kind);
 
-// Nothing was done.
+// The request had no effect.
 struct WorkerRefused {
   WorkerRefusalKind kind = WorkerRefusalKind::kUnhealthy;
   auto operator<=>(const WorkerRefused&) const = default;
 };
 
+// No reply. Unless `may_have_run` is set, the request had no effect.
 struct WorkerUnreached {
   bool may_have_run = true;
   std::string detail{};
@@ -229,7 +235,7 @@
 
 using WorkerAnswer = std::variant<WorkerDone, WorkerRefused, WorkerUnreached>;
 
-// Advice: which workers may run a step.
+// Advice: the workers that may run a step.
 
 struct AdviceRequest {
   std::string step{};  // StepName
@@ -237,6 +243,7 @@
   auto operator<=>(const AdviceRequest&) const = default;
 };
 
+// A worker that may run the step, and the ticket that its starts need.
 struct Allowed {
   std::string worker{};
   std::string ticket{};
@@ -255,7 +262,7 @@
 
 using AdviceAnswer = std::variant<AdviceGiven, AdviceFailed>;
 
-// Machines: a worker is one life of a machine.
+// Machines: a worker is one incarnation of a machine.
 
 enum class MachineState { kUp, kMoving, kUpkeep, kDown };
 
@@ -265,18 +272,19 @@
   std::string name{};
   std::string pool{};  // the service whose workers run there
   MachineState state = MachineState::kUp;
-  std::string worker{};  // its present life; empty: none
+  std::string worker{};  // the present incarnation; empty: none
 
   auto operator<=>(const Machine&) const = default;
 };
 
-// One page; an empty `page` is the first.
+// Lists one page of machines; an empty `page` is the first.
 struct ListMachines {
   std::string page{};
   auto operator<=>(const ListMachines&) const = default;
 };
 
-// All that runs there ends at once, and a new life comes some seconds later.
+// Takes the machine down: all its runs end at once, and a new incarnation
+// starts some seconds later.
 struct BeginUpkeep {
   std::string machine{};
   std::uint64_t wave = 0;
@@ -295,31 +303,32 @@
 
 struct MachinePage {
   std::vector<Machine> machines{};
-  std::string next{};  // empty: this was the last page
+  std::string next{};  // empty: this is the last page
   auto operator<=>(const MachinePage&) const = default;
 };
 
-// The order was carried out, now or before.
+// The command was carried out by this call or an earlier one.
 struct MachineTaken {
   auto operator<=>(const MachineTaken&) const = default;
 };
 
 enum class MachineRefusalKind {
   kFenced,     // another instance used a higher fence there
-  kBusy,       // it is not up, or leaves
-  kNotOfWave,  // the wave does not name it
+  kBusy,       // the machine is not up or is leaving
+  kNotOfWave,  // the wave does not contain the machine
   kInvalid,
-  kTooMany,  // calls at once
+  kTooMany,  // too many concurrent calls
 };
 
 const char* MachineRefusalName(MachineRefusalKind kind);
 
-// Nothing was done.
+// The command had no effect.
 struct MachineRefused {
   MachineRefusalKind kind = MachineRefusalKind::kInvalid;
   auto operator<=>(const MachineRefused&) const = default;
 };
 
+// No reply. Unless `may_have_run` is set, the command had no effect.
 struct MachineUnanswered {
   bool may_have_run = true;
   std::string detail{};
@@ -333,7 +342,7 @@
 
 enum class CallerQuestion { kSubmit, kState, kCancel, kWaiting };
 
-// It names its queue and job, or the host and path that tell them.
+// Names either the queue and the job, or a host and path that identify them.
 struct CallerRequest {
   CallerQuestion question = CallerQuestion::kState;
   std::string host{};
@@ -354,10 +363,11 @@
 };
 
 struct CancelTaken {
-  JobState state = JobState::kCancelled;  // or how it had ended before
+  JobState state = JobState::kCancelled;  // or the state in which it had ended
   auto operator<=>(const CancelTaken&) const = default;
 };
 
+// The number of jobs of a queue that wait.
 struct WaitingShown {
   std::uint32_t jobs = 0;
   auto operator<=>(const WaitingShown&) const = default;
@@ -377,14 +387,15 @@
 };
 
 enum class RefusalCause {
-  kStoreAway,  // nothing can be stored
-  kStopping,   // this entry instance is about to end
+  kStoreAway,  // the store is unavailable, so nothing can be written
+  kStopping,   // this entry instance is stopping
   kNotReady,   // it has no configuration yet
 };
 
 const char* RefusalText(RefusalCause cause);
 
-// It has not run and never will; worth asking again after `retry_after`.
+// The request had no effect and will have none. A retry after `retry_after` may
+// succeed.
 struct NotNow {
   RefusalCause cause = RefusalCause::kStoreAway;
   std::string detail{};
@@ -392,7 +403,7 @@
   auto operator<=>(const NotNow&) const = default;
 };
 
-// Nothing certain can be said: ask again.
+// The outcome is unknown. The caller repeats the request.
 struct NotKnown {
   std::string detail{};
   auto operator<=>(const NotKnown&) const = default;
--- a/Source/engine/configuration.h
+++ b/Source/engine/configuration.h
@@ -1,4 +1,5 @@
-// The operators' configuration as the engine uses it, and the list of workers.
+// The operators' configuration, the platform's list of workers and the waves of
+// upkeep, as the engine uses them.
 #ifndef BURDOCKROCK_ENGINE_CONFIGURATION_H_
 #define BURDOCKROCK_ENGINE_CONFIGURATION_H_
 
@@ -14,59 +15,62 @@
 
 namespace burdockrock::engine {
 
-// The placement advice that a queue's tasks need before they start.
+// The placement advice that tasks of a queue need before they start.
 struct AdvicePolicy {
-  Duration decision{0};  // fixed time of one call
-  Duration each{0};      // more for each worker that the call names
-  Duration valid{0};     // how long a ticket can be used
+  Duration decision{0};  // fixed part of the time of a call
+  Duration each{0};      // added for each worker that the call names
+  Duration valid{0};     // lifetime of a ticket
 
   auto operator<=>(const AdvicePolicy&) const = default;
 };
 
-// One queue of jobs: who may run them and how they are served.
+// A queue of jobs: the service that runs them and their scheduling policy.
 struct QueuePolicy {
   std::string name{};
-  std::string host{};    // of the requests that are for this queue
-  std::string prefix{};  // their path's beginning, ends with '/'
+  std::string host{};    // of the requests for this queue
+  std::string prefix{};  // of their paths; ends with '/'
   std::string service{};
-  std::uint32_t priority = 0;  // 0 goes first
+  std::uint32_t priority = 0;  // 0 is the highest
   std::uint32_t max_attempts = 1;
-  double stretch = 1;   // objective, as a multiple of the longest chain
-  Duration latency{0};  // added to the objective
+  // The objective of a job's duration is its longest chain of steps times
+  // `stretch`, plus `latency`.
+  double stretch = 1;
+  Duration latency{0};
   std::optional<AdvicePolicy> advice{};
 
   auto operator<=>(const QueuePolicy&) const = default;
 };
 
+// A group of workers of one kind.
 struct ServicePolicy {
   std::string name{};
-  bool guards_room = false;  // its workers refuse what they have no room for
-  bool standby = false;      // its machines are off
+  bool guards_room = false;  // its workers refuse tasks that exceed their room
+  bool standby = false;      // its machines are powered off
 
   auto operator<=>(const ServicePolicy&) const = default;
 };
 
-// Bounds of callers' requests.
+// Limits of callers' requests.
 struct CallerLimits {
   std::uint64_t max_header_bytes = 0;
   std::uint64_t max_body_bytes = 0;
-  Duration read_timeout{0};  // for a whole request
-  Duration idle_timeout{0};  // of a connection without one
+  Duration read_timeout{0};  // for a complete request
+  Duration idle_timeout{0};  // for a connection without a request
 
   auto operator<=>(const CallerLimits&) const = default;
 };
 
 struct Configuration {
-  std::uint64_t version = 0;  // 0: none was read yet
+  std::uint64_t version = 0;  // 0: not read yet
   std::vector<QueuePolicy> queues{};
   std::vector<ServicePolicy> services{};
-  std::optional<CallerLimits> limits{};  // nothing: those of the settings
+  // Unset: the limits of the settings apply.
+  std::optional<CallerLimits> limits{};
 
   auto operator<=>(const Configuration&) const = default;
 };
 
-// The queue with the longest prefix of `path` at `host`; null when there is
-// none.
+// The queue of `host` with the longest prefix of `path`, or null.
 const QueuePolicy* FindQueue(const Configuration& configuration,
                              std::string_view host,
                              std::string_view path);
@@ -74,9 +78,9 @@
 const QueuePolicy* FindQueueByName(const Configuration& configuration,
                                    std::string_view name);
 
-// One life of a worker as the platform lists it.
+// One incarnation of a worker as the platform lists it.
 struct WorkerInfo {
-  std::string id{};  // of this life
+  std::string id{};  // of this incarnation
   std::string address{};
   std::string domain{};  // failure domain
   std::string service{};
@@ -89,12 +93,12 @@
   const std::string& rack() const;
 };
 
-// Upkeep that operators ask for: each machine goes down once, at most `cap` of
-// them at a time.
+// Upkeep that operators request: each machine is taken down once, at most `cap`
+// at a time.
 struct Wave {
   std::uint64_t number = 0;
   std::vector<std::string> machines{};
-  Duration time{0};  // in which all of it is to be done
+  Duration time{0};  // in which the whole wave is to be completed
   std::uint32_t cap = 1;
 
   auto operator<=>(const Wave&) const = default;
--- a/Source/engine/context.h
+++ b/Source/engine/context.h
@@ -1,4 +1,4 @@
-// What every part of the reducer works on.
+// The context in which the parts of the reducer handle one event.
 #ifndef BURDOCKROCK_ENGINE_CONTEXT_H_
 #define BURDOCKROCK_ENGINE_CONTEXT_H_
 
@@ -29,15 +29,17 @@
   const std::string& self() const { return state.options.self.incarnation; }
 };
 
-// Sends to a member; to this instance itself at once. Dropped when the member
-// is not known any more: whoever sends repeats.
+// Sends a message to a member. A message to this instance itself is handled in
+// the same step. It is dropped if the member is no longer known: senders repeat
+// their messages.
 void Send(Context& context, const std::string& to, PeerMessage message);
 
-// The same, but also to one that has left the members: it answers the callers
-// that it still has before it ends.
+// Like Send(), but also reaches a member whose registration has ended: it still
+// answers its remaining callers before it exits.
 void Reply(Context& context, const std::string& to, PeerMessage message);
 
-// "after", not overflowing at the ends of time.
+// Whether `span` has passed since `since`. Time::min() counts as long ago,
+// without an overflow.
 constexpr bool HasPassed(Time now, Time since, Duration span) {
   return since == Time::min() || now - since >= span;
 }
--- a/Source/engine/event.h
+++ b/Source/engine/event.h
@@ -1,5 +1,4 @@
-// The events that the engine's reducer handles, and the effects that it
-// returns.
+// The events that the engine's reducer handles and the effects that it returns.
 #ifndef BURDOCKROCK_ENGINE_EVENT_H_
 #define BURDOCKROCK_ENGINE_EVENT_H_
 
@@ -16,13 +15,13 @@
 
 namespace burdockrock::engine {
 
-// Events. `call` is that of the effect that is answered.
+// Events. `call` is the number in the effect to which the event replies.
 
 struct Started {};
 struct TimePassed {};
 
 struct CallerAsked {
-  std::uint64_t call = 0;  // the caller edge's
+  std::uint64_t call = 0;  // assigned by the server of the callers
   CallerRequest request{};
 };
 
@@ -35,7 +34,7 @@
   std::string worker{};
   WorkerRequest request{};
   WorkerAnswer answer{};
-  Time asked{0};  // when the call was made
+  Time asked{0};  // when the call was sent
 };
 
 struct AdviceAnswered {
@@ -53,9 +52,10 @@
   PeerMessage message{};
 };
 
+// The process is to stop as planned: it hands over its work first.
 struct StopAsked {};
 
-// The settings have changed.
+// New settings were read.
 struct BoundsChanged {
   Bounds bounds{};
 };
@@ -72,12 +72,13 @@
                                BoundsChanged>;
 
 struct Event {
-  Time now{0};               // steady
-  std::int64_t wall_ms = 0;  // since 1970; may jump
+  Time now{0};               // steady clock
+  std::int64_t wall_ms = 0;  // Unix time; may jump
   EventBody body{};
 };
 
-// Effects.
+// Effects, which the shell carries out. Calls are answered by an event, also if
+// they time out.
 
 struct AnswerCaller {
   std::uint64_t call = 0;
@@ -103,7 +104,7 @@
 };
 
 struct CallMachines {
-  std::string holder{};  // who orders, for the service's own log
+  std::string holder{};  // this instance, for the log of the service
   MachineRequest request{};
   Duration timeout{0};
 };
@@ -119,23 +120,23 @@
 };
 
 enum class MeasuredSpan {
-  kStart,   // from a task's offer until its run is known to be under way
-  kCancel,  // from a cancel's acknowledgement until nothing runs any more
+  kStart,   // from the offer of a task until its run is known to have started
+  kCancel,  // from the acknowledgement of a cancel until the last run has ended
 };
 
-// For the metrics.
+// Adds a time span to the metrics.
 struct NoteSpan {
   MeasuredSpan span = MeasuredSpan::kStart;
   Duration took{0};
 };
 
-// The configuration's bounds of callers' requests are in force.
+// Puts the configuration's limits of callers' requests into force.
 struct ApplyLimits {
   CallerLimits limits{};
 };
 
-// Everything is handed over; the process may end when all requests that were
-// read are answered.
+// All work is handed over. The process exits once it has answered all requests
+// that it has read.
 struct EndProcess {};
 
 using Effect = std::variant<AnswerCaller,
--- a/Source/engine/notices.cc
+++ b/Source/engine/notices.cc
@@ -23,18 +23,18 @@
 namespace {
 
 // Between two checks of lasting conditions.
-constexpr Duration kRound = milliseconds(500);
-// Between two checks whether a cancelled job's last task has ended; the
-// reported time is too long by this at most.
-constexpr Duration kCancelLook = milliseconds(25);
-// Users are promised that nothing of a cancelled job is started any more this
-// long after the acknowledgement; a run that was started until then has the
-// worker's time to stop.
-constexpr Duration kCancelledStarts = milliseconds(3000);
+constexpr Duration kCheckInterval = milliseconds(500);
+// Between two checks of whether the last task of a cancelled job has ended. The
+// reported time is too long by at most this.
+constexpr Duration kCancelCheckInterval = milliseconds(25);
+// Users are guaranteed that no task of a cancelled job starts later than this
+// after the acknowledgement. A run that started before has the worker's stop
+// timeout to end.
+constexpr Duration kMaxStartAfterCancel = milliseconds(3000);
 // Between two lines with the totals of the calls for advice.
-constexpr Duration kAdviceTold = milliseconds(10'000);
-// Things named in one line; how many there are is said beside them.
-constexpr std::size_t kNamed = 3;
+constexpr Duration kAdviceLogInterval = milliseconds(10'000);
+// Items named in one line; another field has their total number.
+constexpr std::size_t kMaxNamed = 3;
 
 std::string Milliseconds(Duration span) {
   return std::to_string(ToMilliseconds(span));
@@ -45,41 +45,41 @@
   return owner.empty() ? "-" : owner;
 }
 
-// WORKER@OWNER:MS with the time since the owner's last report of it.
-std::string DescribeUnheard(const Context& context, const std::string& id) {
+// WORKER@OWNER:MS, with the time since the last report of the owner.
+std::string DescribeUnreported(const Context& context, const std::string& id) {
   const auto view = context.state.view.find(id);
-  const bool told =
+  const bool reported =
       view != context.state.view.end() && !view->second.owner.empty();
   const ListedWorker* listed = FindWorker(context.state, id);
   const bool unlisted = listed != nullptr && !listed->listed;
   return fmt::format(
       "{}@{}:{}{}", id, OwnerName(context, id),
-      told ? Milliseconds(context.now - view->second.heard) : "-",
+      reported ? Milliseconds(context.now - view->second.heard) : "-",
       unlisted ? ":unlisted" : "");
 }
 
-// The first few by the time of their last report.
-std::string DescribeUnheard(const Context& context, const Job& job) {
+// The workers that were reported the longest ago.
+std::string DescribeUnreported(const Context& context, const Job& job) {
   std::vector<std::pair<Time, std::string>> workers;
   for (const std::uint32_t number : job.uncovered.Numbers()) {
     const std::string& it = context.state.recovery.numbers.NameOf(number);
     const auto view = context.state.view.find(it);
-    const bool told = view != context.state.view.end();
-    workers.emplace_back(told ? view->second.heard : Time::min(), it);
+    const bool reported = view != context.state.view.end();
+    workers.emplace_back(reported ? view->second.heard : Time::min(), it);
   }
-  const std::size_t n = std::min(kNamed, workers.size());
+  const std::size_t n = std::min(kMaxNamed, workers.size());
   std::partial_sort(workers.begin(),
                     workers.begin() + static_cast<std::ptrdiff_t>(n),
                     workers.end());
   std::string text;
   for (std::size_t it = 0; it < n; ++it) {
     text += (text.empty() ? "" : " ") +
-            DescribeUnheard(context, workers[it].second);
+            DescribeUnreported(context, workers[it].second);
   }
   return text;
 }
 
-void LookAtRecoveries(Context& context) {
+void LogRecoveries(Context& context) {
   Reminders& reminders = context.state.notices.recoveries;
   for (const std::string& id : context.state.active) {
     const Job& job = context.state.jobs.at(id);
@@ -93,16 +93,17 @@
             Milliseconds(context.now - context.state.members.registered_at)},
            {"members", std::to_string(job.unheard.size())},
            {"unheard", std::to_string(job.uncovered.size())},
-           {"workers", DescribeUnheard(context, job)}});
+           {"workers", DescribeUnreported(context, job)}});
     }
   }
   reminders.EndRound();
 }
 
-// What another owner may have renewed there has to run out before the worker
-// counts as gone; a claim that was refused is tried again with a higher fence,
-// which the store gives.
-void LookAtClaims(Context& context) {
+// Logs claims of workers that do not reply. Such a worker is declared lost only
+// when the leases that another owner may have renewed there have expired. A
+// refused claim is no such case: it is repeated with a higher fence from the
+// store.
+void LogClaims(Context& context) {
   Reminders& reminders = context.state.notices.claims;
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
@@ -123,7 +124,7 @@
   reminders.EndRound();
 }
 
-void LookAtStops(Context& context) {
+void LogStops(Context& context) {
   Reminders& reminders = context.state.notices.stops;
   for (const auto& [id, worker] : context.state.owned) {
     std::size_t n = 0;
@@ -148,8 +149,8 @@
   reminders.EndRound();
 }
 
-// Logs why tasks wait: for room, for tickets or for an answer.
-void LookAtWaits(Context& context) {
+// Logs why tasks wait: for room, for tickets or for a reply.
+void LogWaits(Context& context) {
   Reminders& reminders = context.state.notices.waits;
   for (const ReadyStep& it : ReadySteps(context)) {
     const Time since = OldestWait(it);
@@ -180,8 +181,9 @@
                      count.unused, count.given_up);
 }
 
-// Logs which calls take the service's time, and which of them lead to starts.
-void TellAdvice(Context& context) {
+// Logs which calls use the time of the advice service, and which of them lead
+// to starts.
+void LogAdviceTotals(Context& context) {
   const AdviceCounts& counts = context.state.totals.advice;
   std::vector<LogField> fields;
   for (const AdviceReason it : kAllAdviceReasons) {
@@ -194,11 +196,11 @@
   }
 }
 
-// TASK/RUN@WORKER@OWNER of the first few.
+// TASK/RUN@WORKER@OWNER of at most kMaxNamed runs.
 std::string DescribeRuns(const Context& context,
                          const std::vector<OpenRun>& runs) {
   std::string text;
-  for (std::size_t it = 0; it < std::min(kNamed, runs.size()); ++it) {
+  for (std::size_t it = 0; it < std::min(kMaxNamed, runs.size()); ++it) {
     const OpenRun& run = runs[it];
     text += fmt::format("{}{}/{}@{}@{}", text.empty() ? "" : " ",
                         ToString(run.task), run.run, run.worker,
@@ -207,9 +209,9 @@
   return text;
 }
 
-void LookAtCancel(Context& context, const Job& job, Time acknowledged) {
+void CheckCancel(Context& context, const Job& job, Time acknowledged) {
   const Duration bound =
-      kCancelledStarts + context.state.options.bounds.stop_timeout;
+      kMaxStartAfterCancel + context.state.options.bounds.stop_timeout;
   const Duration after = context.now - acknowledged;
   const std::vector<OpenRun> runs = OpenRunsOf(job);
   const bool over = runs.empty() && !job.recovering;
@@ -231,12 +233,12 @@
   }
 }
 
-void LookAtCancels(Context& context) {
-  // Erased from within.
+void CheckCancels(Context& context) {
+  // A copy, as CheckCancel() erases entries.
   const std::map<std::string, Time> cancelled = context.state.notices.cancelled;
   for (const auto& [id, acknowledged] : cancelled) {
     if (const Job* job = FindJob(context.state, id)) {
-      LookAtCancel(context, *job, acknowledged);
+      CheckCancel(context, *job, acknowledged);
     } else {
       context.state.notices.cancelled.erase(id);
     }
@@ -253,22 +255,22 @@
   }
   NoticesState& notices = context.state.notices;
   if (!notices.cancelled.empty() &&
-      HasPassed(context.now, notices.cancels_seen_at, kCancelLook)) {
+      HasPassed(context.now, notices.cancels_seen_at, kCancelCheckInterval)) {
     notices.cancels_seen_at = context.now;
-    LookAtCancels(context);
+    CheckCancels(context);
   }
-  if (HasPassed(context.now, notices.advice_told_at, kAdviceTold)) {
+  if (HasPassed(context.now, notices.advice_told_at, kAdviceLogInterval)) {
     notices.advice_told_at = context.now;
-    TellAdvice(context);
+    LogAdviceTotals(context);
   }
-  if (!HasPassed(context.now, notices.seen_at, kRound)) {
+  if (!HasPassed(context.now, notices.seen_at, kCheckInterval)) {
     return;
   }
   notices.seen_at = context.now;
-  LookAtRecoveries(context);
-  LookAtClaims(context);
-  LookAtStops(context);
-  LookAtWaits(context);
+  LogRecoveries(context);
+  LogClaims(context);
+  LogStops(context);
+  LogWaits(context);
 }
 
 void NoteRecovered(Context& context, const Job& job) {
--- a/Source/engine/notices.h
+++ b/Source/engine/notices.h
@@ -1,5 +1,5 @@
-// Says in the log what lasts longer than it should, and how it ended. Decides
-// nothing.
+// Logs conditions that last longer than they should, and how they end. Has no
+// influence on scheduling.
 #ifndef BURDOCKROCK_ENGINE_NOTICES_H_
 #define BURDOCKROCK_ENGINE_NOTICES_H_
 
@@ -7,14 +7,16 @@
 
 namespace burdockrock::engine {
 
-// Logs conditions that have lasted for long, and repeats them at times.
+// Logs conditions that have lasted for long, repeatedly but at growing
+// intervals, and the totals of the calls for advice.
 void DriveNotices(Context& context);
 
-// All that can run the adopted job was heard of. Called before its tasks that
-// were not found wait for their start.
+// Logs that all workers that may run the adopted job have been reported. Call
+// it before the tasks that were not found become ready to start.
 void NoteRecovered(Context& context, const Job& job);
 
-// The cancel of the job was acknowledged to its callers.
+// Logs that the cancel of the job was acknowledged to its callers, and follows
+// it until the last run has ended.
 void NoteCancelAcknowledged(Context& context, const Job& job);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/options.h
+++ b/Source/engine/options.h
@@ -1,4 +1,5 @@
-// The engine's deployment, and the limits it keeps.
+// What an engine is told of its deployment: its own identity, the bounds of the
+// platform and the decoders of the platform's documents.
 #ifndef BURDOCKROCK_ENGINE_OPTIONS_H_
 #define BURDOCKROCK_ENGINE_OPTIONS_H_
 
@@ -15,15 +16,15 @@
 
 namespace burdockrock::engine {
 
-// What went wrong with a document of the store, for the log.
+// Why a document of the store can't be decoded, for the log.
 struct DocumentFault {
   std::string problem{};
 };
 
-// How the platform's own documents in the store are read.
+// Keys and codecs of the platform's own documents in the store.
 struct StoreDocuments {
   std::string worker_prefix = "worker/";
-  // All that operators write begins so.
+  // Prefix of all keys that operators write.
   std::string operator_prefix = "operator/";
   std::string configuration_key = "operator/configuration";
   std::string wave_prefix = "operator/wave/";
@@ -31,8 +32,8 @@
   std::function<std::variant<WorkerInfo, DocumentFault>(std::string_view id,
                                                         std::string_view text)>
       decode_worker{};
-  // Whether the worker's entry `now` tells no more than `before`: only that the
-  // worker is alive. None is taken for such without it.
+  // Whether the worker's entry `now` differs from `before` only by a heartbeat.
+  // If unset, every change of an entry is decoded.
   std::function<bool(std::string_view before, std::string_view now)>
       is_heartbeat{};
   std::function<std::variant<Configuration, DocumentFault>(
@@ -49,14 +50,16 @@
   Duration max_hold = std::chrono::milliseconds(6000);  // longest lease
   Duration stop_timeout = std::chrono::milliseconds(400);
   Duration drain_time = std::chrono::milliseconds(2000);
-  Duration state_kept = std::chrono::seconds(120);  // of an ended job
+  // How long the state of an ended job is kept.
+  Duration state_kept = std::chrono::seconds(120);
   Duration min_lease_ttl = std::chrono::seconds(1);
   Duration grace = std::chrono::seconds(6);  // from the stop signal to the kill
-  // Two instances that order machines in turn do so this far apart.
+  // Minimum time between commands to machines from two successive holders of
+  // the duty.
   Duration duty_lease = std::chrono::seconds(3);
-  // A lasting task that has started is at work after this long at the latest.
+  // Longest time from the start of a lasting task until it is at work.
   Duration settle_time = std::chrono::milliseconds(4500);
-  // Write calls a second that the store takes from the whole deployment.
+  // Write calls per second that the store accepts from the whole deployment.
   std::uint32_t store_writes = 400;
 
   auto operator<=>(const Bounds&) const = default;
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -68,7 +68,7 @@
   void operator()(const DigestAsk&) { OnDigestAsk(context, from); }
 };
 
-// Hands the store's answer to whoever asked.
+// Passes the store's reply to the handler of its purpose.
 struct PurposeVisitor {
   Context& context;
   const StoreAnswer& answer;
@@ -149,15 +149,15 @@
   }
 }
 
-// Callers are better served by another instance then. A single failed call
-// does not show that it is away.
-bool StoreIsAway(const State& state) {
+// If it is, another instance serves callers better. A single failed call is not
+// enough.
+bool StoreIsUnavailable(const State& state) {
   return !state.store.healthy &&
          HasPassed(state.drive.driven_at, state.store.last_answer, kStoreAway);
 }
 
-// Sends what must not wait for the next drive: writes to the store, reads of it
-// and messages to this instance itself.
+// Does what must not wait for the next Drive(): stops, reads and writes of the
+// store, and messages to this instance itself.
 void Forward(Context& context) {
   FlushStops(context);
   DriveCatalog(context);
@@ -165,13 +165,13 @@
   DrainInbox(context);
 }
 
-// Everything that is due by what is known now.
+// Does all work that is due.
 void Drive(Context& context) {
   DriveState& drive = context.state.drive;
   drive.due = false;
   drive.driven_at = context.now;
-  const bool keep = HasPassed(context.now, drive.kept_at, kTick);
-  if (keep) {
+  const bool check_timeouts = HasPassed(context.now, drive.kept_at, kTick);
+  if (check_timeouts) {
     drive.kept_at = context.now;
   }
   DriveMembership(context);
@@ -183,7 +183,7 @@
   DriveEnds(context);
   DrainInbox(context);
   DriveOccurrences(context);
-  if (keep) {
+  if (check_timeouts) {
     DriveJobs(context);
     DriveCallers(context);
     ReviewRuns(context);
@@ -212,12 +212,13 @@
   DrainInbox(context);
 }
 
-// Calls between instances are numbered from another place in each life. The
-// answer to a call of a former life at the same address would else be taken for
-// that of a present one, and the cancel of another job be acknowledged by it.
+// Each incarnation numbers its calls to other instances from another start. A
+// late reply to a call of an earlier incarnation at the same address would
+// otherwise be matched to a present call, and acknowledge the cancel of another
+// job.
 std::uint64_t FirstCall(const std::string& incarnation) {
-  constexpr int kBitsLeft = 24;  // 40 bits stay, exact in any JSON number
-  return XXH64(incarnation.data(), incarnation.size(), 0) >> kBitsLeft;
+  constexpr int kDroppedBits = 24;  // the 40 that stay are exact in JSON
+  return XXH64(incarnation.data(), incarnation.size(), 0) >> kDroppedBits;
 }
 
 }  // namespace
@@ -258,7 +259,7 @@
 
 bool IsReady(const State& state) {
   return state.configuration.version != 0 && IsRegistered(state) &&
-         ListsAreRead(state) && !state.stop.asked && !StoreIsAway(state);
+         ListsAreRead(state) && !state.stop.asked && !StoreIsUnavailable(state);
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/reducer.h
+++ b/Source/engine/reducer.h
@@ -1,4 +1,5 @@
-// One step of the engine: an event in, effects out.
+// The engine as a reducer: each event changes the state and returns effects. It
+// does no I/O and reads no clock.
 #ifndef BURDOCKROCK_ENGINE_REDUCER_H_
 #define BURDOCKROCK_ENGINE_REDUCER_H_
 
@@ -10,12 +11,13 @@
 
 State MakeState(EngineOptions options);
 
+// Handles one event.
 Effects Step(State& state, const Event& event);
 
-// When TimePassed is wanted at the latest.
+// The time by which the next TimePassed event is due.
 Time NextTime(const State& state, Time now);
 
-// Whether callers should be sent here.
+// Whether this instance should receive callers' requests.
 bool IsReady(const State& state);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/reminders.h
+++ b/Source/engine/reminders.h
@@ -1,4 +1,4 @@
-// Decides how often a lasting condition is logged.
+// Limits how often a lasting condition is logged.
 #ifndef BURDOCKROCK_ENGINE_REMINDERS_H_
 #define BURDOCKROCK_ENGINE_REMINDERS_H_
 
@@ -10,21 +10,24 @@
 
 namespace burdockrock::engine {
 
-// Each round asks about all that lasts. A line about one thing is due once it
-// has lasted for kFirst, and again after pauses that double up to kLongest.
+// In each round the caller checks every condition that lasts. A line about one
+// is due when it has lasted for kFirst, and again after pauses that double up
+// to kLongest.
 class Reminders {
  public:
-  // Two lost orders or questions are no news.
+  // Long enough that two lost commands or queries in a row are not logged.
   static constexpr Duration kFirst = std::chrono::milliseconds(1000);
   static constexpr Duration kLongest = std::chrono::milliseconds(8000);
   // Keeps the log short when a failure domain is lost and hundreds of
-  // conditions last at once.
+  // conditions last at the same time.
   static constexpr std::size_t kPerRound = 4;
 
-  // True when a line about `key`, which has lasted since then, is due.
+  // Whether a line about the condition `key`, which has lasted since `since`,
+  // is due.
   bool IsDue(const std::string& key, Time now, Time since);
 
-  // What this round did not ask about is over; it is forgotten.
+  // Ends the round and removes the conditions that it did not check, which are
+  // over.
   void EndRound();
 
  private:
@@ -35,7 +38,7 @@
   };
 
   std::map<std::string, Entry> entries_;
-  std::size_t told_ = 0;  // in this round
+  std::size_t told_ = 0;  // lines in this round
 };
 
 }  // namespace burdockrock::engine
--- a/Source/engine/response_time.cc
+++ b/Source/engine/response_time.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Weights of a new sample, and deviations in a timeout, by RFC 6298.
+// Weights of a new sample, and number of deviations in a timeout (RFC 6298).
 constexpr int kMeanDivisor = 8;
 constexpr int kDeviationDivisor = 4;
 constexpr int kDeviations = 4;
--- a/Source/engine/response_time.h
+++ b/Source/engine/response_time.h
@@ -1,4 +1,4 @@
-// How long calls take to be answered, learned from the answers.
+// An estimate of the response time of calls, learned from their replies.
 #ifndef BURDOCKROCK_ENGINE_RESPONSE_TIME_H_
 #define BURDOCKROCK_ENGINE_RESPONSE_TIME_H_
 
@@ -12,11 +12,11 @@
  public:
   ResponseTime() = default;
 
-  // With one more answer that took so long.
+  // The estimate with one more reply, which took `sample`.
   ResponseTime With(Duration sample) const;
 
-  // A call that has taken longer has most likely lost its answer. Between
-  // `least` and `most`, and `most` before the first answer.
+  // A call that takes longer has most likely lost its reply. Within `least` and
+  // `most`; `most` before the first reply.
   Duration Timeout(Duration least, Duration most) const;
 
   bool operator==(const ResponseTime&) const = default;
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -1,4 +1,5 @@
-// All that the engine's reducer knows.
+// The state of the engine's reducer. One State belongs to one entry instance
+// and changes only within Step().
 #ifndef BURDOCKROCK_ENGINE_STATE_H_
 #define BURDOCKROCK_ENGINE_STATE_H_
 
@@ -34,8 +35,10 @@
 
 namespace burdockrock::engine {
 
-// Store calls and what they are for.
+// Calls to the store. A StorePurpose is kept with each call in flight and
+// selects the handler of its reply.
 
+// Lists of the store that an instance follows.
 enum class WatchedList { kMembers, kWorkers, kOperators };
 inline constexpr std::size_t kWatchedLists = 3;
 
@@ -63,12 +66,14 @@
 struct ForSweep {};
 struct ForMembersReview {};
 struct ForNodes {
-  bool forget = false;  // else: to learn them
+  // Removes entries of machines that left long ago; else reads the entries.
+  bool forget = false;
 };
 struct ForWaveStatus {
   std::uint64_t wave = 0;
   bool completed = false;
 };
+// The reply is ignored.
 struct ForNothing {};
 
 using StorePurpose = std::variant<ForWatch,
@@ -89,27 +94,30 @@
 struct StoreState {
   std::uint64_t last_call = 0;
   std::map<std::uint64_t, StorePurpose> calls{};
-  Time last_answer{0};              // of any kind but none
-  Time last_trouble = Time::min();  // refused or unanswered
-  bool healthy = false;             // the last call was answered
+  // Last reply other than a refusal.
+  Time last_answer{0};
+  // Last call that was refused or got no reply. A watch that gets no reply does
+  // not count.
+  Time last_trouble = Time::min();
+  bool healthy = false;  // the last call counts for last_answer
   std::uint64_t total_calls = 0;
 };
 
-// One list that is followed: read in pages, then watched.
+// State of one followed list, which is read in pages and then watched.
 struct Watch {
   bool in_flight = false;
-  bool reading = true;  // pages, not changes
+  bool reading = true;  // reads pages; false: watches for changes
   std::uint64_t revision = 0;
   std::uint64_t read_revision = 0;  // of the first page
-  std::string after{};
-  std::set<std::string> seen{};  // keys that were read so far
-  bool complete = false;         // was read whole at least once
-  Time asked_at = Time::min();   // the call that is under way
-  Time known_to = Time::min();   // all changes up to then are known
+  std::string after{};              // last key of the previous page
+  std::set<std::string> seen{};     // keys read so far
+  bool complete = false;            // all pages were read at least once
+  Time asked_at = Time::min();      // start of the call in flight
+  Time known_to = Time::min();      // all changes up to then are known
   Time retry_at{0};
 };
 
-// A read of the members beside their watch.
+// A read of the list of members in addition to its watch.
 struct MembersReview {
   bool in_flight = false;
   Time asked_at = Time::min();
@@ -118,33 +126,35 @@
 // Members.
 
 struct Member {
-  Time parted_at = kForever;  // it has said that it renews no leases
+  Time parted_at = kForever;  // when it reported that it renews no more leases
   MemberRecord record{};
   std::uint64_t fence = 0;  // the registration's revision
 };
 
+// A member whose registration has ended.
 struct DepartedMember {
   Member member{};
-  Time gone_at = kForever;  // from then on its work is taken over
-  Time left_at{0};          // when the store's list lacked it
-  // It renews no leases since then: its machine runs another process, or it has
-  // said so.
+  Time gone_at = kForever;  // its work is taken over from then on
+  Time left_at{0};          // when it was missing from the store's list
+  // When it stopped renewing leases: its machine runs another process, or it
+  // reported so.
   Time replaced_at = kForever;
 };
 
 // Machines whose processes registered and left before this instance read the
-// list of members: one of them may be cut off and go on.
+// list of members. Such a process may still run, cut off from the store, and
+// renew leases.
 struct NodesState {
-  bool read = false;  // whole, once
+  bool read = false;  // all pages were read once
   bool in_flight = false;
   std::string after{};
   Time read_at = Time::min();      // when the last read began
-  std::set<std::string> listed{};  // had a member in the first list
-  // By machine: since when it runs another process. kForever: it does not.
+  std::set<std::string> listed{};  // with a member in the first list
+  // By machine: when another process was first seen there; kForever: none yet.
   std::map<std::string, Time> unseen{};
 };
 
-// One machine's member that keys may be given to.
+// The member of a machine that may be chosen as an owner.
 struct ChoosableMember {
   std::string incarnation{};
   std::string domain{};
@@ -165,57 +175,58 @@
   Time raised_at = Time::min();
   std::uint64_t fence = 0;  // 0: not registered
   Time registered_at{0};
-  // The registration was surely valid then: a renewal that was sent then has
-  // been answered.
+  // The registration was valid then: a renewal sent at that time succeeded.
   Time last_contact{0};
-  Time known_since = kForever;  // the list was read whole for the first time
+  Time known_since = kForever;  // the first complete read of the list
   std::map<std::string, Member> present{};  // by incarnation
   std::map<std::string, DepartedMember> departed{};
   NodesState nodes{};
-  // By node; worked out of the two above when they change.
+  // By node; derived from `present` and `departed` when they change.
   std::map<std::string, ChoosableMember> choosable{};
-  std::uint64_t version = 1;  // rises with each change of the members
+  std::uint64_t version = 1;  // increases with each change of the members
 };
 
 struct RoomView;
 
-// Members that have not answered an offer, since when.
+// Members with an unanswered offer, by incarnation, and when it was sent.
 struct SilenceState {
-  std::map<std::string, Time> asked{};   // not overdue yet
-  std::map<std::string, Time> silent{};  // they get no offers
+  std::map<std::string, Time> asked{};   // the timeout has not passed yet
+  std::map<std::string, Time> silent{};  // timed out; they get no offers
   ResponseTime answers{};
 };
 
-// How the own workers answer calls.
+// Reply times and unanswered calls of the owned workers.
 struct WorkerAnswers {
-  ResponseTime time{};         // of orders
-  Time lost_at = Time::min();  // the last call without an answer
+  ResponseTime time{};         // of commands
+  Time lost_at = Time::min();  // the last call without a reply
 };
 
-// A worker of the platform's list. One that left it is remembered for a while:
-// it may only have lost its path to the store, and runs on.
+// A worker of the platform's list. One that leaves the list is kept for
+// kUnlistedKept: it may still run and only have lost its connection to the
+// store.
 struct ListedWorker {
   WorkerInfo info{};
   bool listed = true;
   Time unlisted_at{0};
   Time draining_since = kForever;
-  // Its entry in the table of views, which are never taken away; null: not
-  // looked for yet, or there was none.
+  // Its entry of State::view, whose entries are never removed; null if it was
+  // not looked up yet or did not exist then.
   RoomView* view = nullptr;
 };
 
-// The room of all workers as their owners tell it.
+// A worker's room as its owner last reported it.
 struct RoomView {
   std::string owner{};  // an incarnation
   std::uint64_t fence = 0;
   std::uint64_t version = 0;
   Resources free{};
-  Resources yielding{};
+  Resources yielding{};  // could be freed for the most urgent work
   bool accepting = false;
   bool gone = false;
-  std::uint32_t slowness = 0;  // in hundredths of the estimates; 0: not known
+  // Run times in hundredths of their estimates; 0: unknown.
+  std::uint32_t slowness = 0;
   Time heard{0};
-  // Whether the owner is a member, by the members of this version.
+  // Whether the owner is a member, as of this version of the members.
   std::uint64_t checked_version = 0;
   bool owner_is_member = false;
 };
@@ -224,139 +235,143 @@
 
 enum class ChangeKind { kCreateJob, kSaveJob, kAdoptJob, kForgetJob };
 
+// A write that is queued for the store. All of it goes into one transaction.
 struct Change {
   ChangeKind kind = ChangeKind::kSaveJob;
   std::string job{};
-  std::uint64_t version = 0;  // of the job's progress that it holds
+  std::uint64_t version = 0;  // of the job's progress that it writes
   std::vector<StoreCondition> conditions{};
   std::vector<StorePut> puts{};
   std::vector<std::string> removes{};
-  bool may_be_done = false;  // an earlier try got no answer
+  bool may_be_done = false;  // an earlier attempt got no reply
 
   std::size_t entries() const {
     return conditions.size() + puts.size() + removes.size();
   }
 };
 
+// Changes that one transaction writes.
 struct Batch {
   std::vector<Change> changes{};
   std::uint64_t fence = 0;
 };
 
 struct WriterState {
-  double allowance = 0;  // transactions that may be sent now
-  Time allowed_at{0};    // when it was counted
+  double allowance = 0;  // transactions that may be sent now (token bucket)
+  Time allowed_at{0};    // when `allowance` was last computed
   std::deque<Change> queue{};
   std::map<std::uint64_t, Batch> in_flight{};
   std::uint64_t last_batch = 0;
   Time retry_at{0};
 };
 
-// What the store says of jobs of other owners.
+// A cached job of another owner, as read from the store.
 struct CatalogEntry {
   std::optional<JobSpec> spec{};
   std::optional<JobRecord> record{};
   std::uint64_t record_revision = 0;
-  // How the job has ended, as its owner or the store told.
+  // How the job ended, as its owner or the store reported.
   std::optional<JobState> final_state{};
   bool absent = false;  // the store has no such job
   bool reading_record = false;
   bool reading_spec = false;
   bool want_record = false;
   bool want_spec = false;
-  Time read_at = Time::min();     // when the last read of the record began
-  Time known_from = Time::min();  // when the read began whose answer this is
+  Time read_at = Time::min();     // start of the last read of the record
+  Time known_from = Time::min();  // start of the read that returned `record`
   Time used{0};
 };
 
-// A caller that waits for the answer to a question about a job.
+// A caller's query about a job that is waiting for a reply.
 struct WaitingCaller {
   std::uint64_t call = 0;
   CallerQuestion question = CallerQuestion::kState;
   std::string job{};
   Time since{0};
   Time give_up{0};
-  std::string asked{};  // the member that was asked last
+  std::string asked{};  // the member that was queried last
   Time asked_at = Time::min();
-  // The record counts if its read began then or later.
+  // Only a record whose read began then or later is used.
   Time read_from = Time::min();
 };
 
-// Adoption of jobs whose owner is gone.
+// A scan of the stored jobs for those whose owner is lost, to adopt them.
 struct OrphanScan {
   bool in_flight = false;
   std::string after{};
 };
 
 struct Orphan {
-  std::string owner{};  // that is gone
+  std::string owner{};  // the lost incarnation
   bool writing = false;
 };
 
-// Questions about all jobs that have not recovered yet after their adoption.
+// Queries about the adopted jobs whose recovery is not complete.
 struct RecoveryState {
-  WorkerNumbers numbers{};          // in the jobs' sets
-  Time asked_at = Time::min();      // who has more to tell
-  Time asked_all_at = Time::min();  // every member
-  // When a member was last told of all workers that left the list and that are
-  // still waited for.
+  WorkerNumbers numbers{};          // of the workers in the jobs' sets
+  Time asked_at = Time::min();      // last query to members with reports due
+  Time asked_all_at = Time::min();  // last query to every member
+  // When a member was last sent all workers that left the list and whose runs
+  // are still unknown.
   std::map<std::string, Time> told{};
 };
 
-// Workers that left the list before this instance followed it: what the members
-// told of them since the last registration.
+// Whether the members have reported the workers that left the list before this
+// instance followed it; collected anew with each registration.
 struct UnseenWorkers {
   Time registered_at{0};
   std::set<std::string> told_by{};  // incarnations
-  bool all_told = false;  // by one that has followed the list for long
+  // A member that has followed the list for long enough has reported.
+  bool all_told = false;
 };
 
-// Waves of upkeep, and what this instance does for them while it is the one
-// that orders machines.
+// Waves of upkeep, and the state of their duty: the one instance that sends
+// commands to the service of machines.
 struct UpkeepState {
   std::map<std::uint64_t, WaveProgress> waves{};
-  Time held_since = kForever;  // the duty
-  bool in_flight = false;      // a call about machines
+  Time held_since = kForever;  // when this instance took the duty
+  bool in_flight = false;      // a call to the service of machines
   Time called_at{0};
   Time retry_at{0};
   Time list_asked = Time::min();
-  bool listed = false;  // since it has the duty
+  bool listed = false;  // machines were listed since the duty was taken
   MachineList machines{};
   MachineList reading{};
-  bool telling = false;
+  bool telling = false;  // a write of a wave's status is in flight
 };
 
-// Machines of standby pools that were brought in.
+// Machines that were moved out of standby pools.
 struct PoolsState {
   std::map<std::string, PoolPressure> pressure{};  // by service
   std::map<std::string, std::string> borrowed{};   // machine: its standby pool
   std::set<std::pair<std::string, std::string>> impossible{};
-  std::set<std::string> emptied{};  // workers
+  std::set<std::string> emptied{};  // workers that are prepared for a move
   Time moved_at = Time::min();
   Time asked_at = Time::min();
 };
 
-// Records of ended jobs without an owner are looked for.
+// Scan for records of ended jobs that have no owner.
 struct SweepState {
-  Time swept_at{0};  // not right after the start
+  Time swept_at{
+      0};  // start of the last sweep; none is due right after the start
   bool in_flight = false;
   std::string after{};
 };
 
-// A question for advice on an own job's step that is out.
+// A pending advice query for a step of an owned job.
 struct AdviceQuestion {
-  TaskName step{};       // its index does not count
-  std::string member{};  // that asks the service
+  TaskName step{};       // the index is ignored
+  std::string member{};  // makes the call to the service
   std::vector<std::string> workers{};
   std::uint32_t priority = 0;
   AdviceReason reason = AdviceReason::kFirst;
   Duration expected{0};
   Time asked{0};
-  Time due{0};  // when the answer should be there
+  Time due{0};  // when the reply is expected
   Time give_up{0};
 };
 
-// A call to the service that this instance makes for a member or itself.
+// A queued call to the advice service on behalf of a member or this instance.
 struct AdviceTurn {
   std::string from{};
   AdviceAsk ask{};
@@ -368,26 +383,28 @@
   std::map<std::uint64_t, AdviceQuestion> questions{};
   std::deque<AdviceTurn> turns{};
   std::optional<AdviceTurn> in_flight{};
-  Time called_at{0};  // for the turn in flight
+  Time called_at{0};  // start of the call in flight
   Time retry_at{0};
-  Duration late{0};  // beyond their time, the last calls
+  Duration late{0};  // how far recent calls exceeded their expected time
   Time late_at{0};
-  // Of the members, as reported, or longer after a question without an answer.
+  // Queueing times at the members as they report them; longer after a query
+  // without a reply.
   std::map<std::string, Duration> waits{};
   std::map<std::string, Duration> urgent_waits{};
   std::map<std::string, Time> heard{};  // last report
-  std::set<std::string> silent{};       // owe an answer and send nothing
+  std::set<std::string> silent{};       // with an overdue reply, and no message
   std::map<std::string, AllowedShare> shares{};  // by queue
 };
 
+// State of the digests, in which members report the room of their workers.
 struct DigestState {
-  std::set<std::string> changed{};  // workers
+  std::set<std::string> changed{};  // workers with changes to send
   bool waiting_changed = false;
   std::uint64_t sequence = 0;  // of the last digest with a change
   Time sent_at = Time::min();
-  Time looked_at = Time::min();  // whether something urgent has changed
-  bool settled = false;          // the last digest had no change
-  // As the digests have it.
+  Time looked_at = Time::min();  // last check for urgent changes
+  bool settled = false;          // the last digest contained no change
+  // The values that were sent last.
   std::map<std::string, std::uint32_t> told_waiting{};  // by queue
   struct ToldWorker {
     std::uint64_t fence = 0;
@@ -396,31 +413,33 @@
     auto operator<=>(const ToldWorker&) const = default;
   };
   std::map<std::string, ToldWorker> told{};
-  std::set<std::string> askers{};  // members that get the whole
-  // Of the members' digests, by incarnation.
-  std::map<std::string, std::uint64_t> heard{};  // all up to this one
-  std::map<std::string, Time> missed{};  // when the whole was last asked for
-  // Told by the peers, by incarnation and queue.
+  std::set<std::string> askers{};  // members that get a full digest next
+  // By incarnation: the digest up to which all were received.
+  std::map<std::string, std::uint64_t> heard{};
+  // By incarnation: last request for a full digest, after one was missed.
+  std::map<std::string, Time> missed{};
+  // Waiting jobs as the peers reported them, by incarnation and queue.
   std::map<std::string, std::map<std::string, std::uint32_t>> waiting{};
 };
 
+// A planned stop of this instance.
 struct StopState {
   bool asked = false;
   Time asked_at{0};
-  Time since{0};          // when its present stage began
-  bool released = false;  // the registration is ended
+  Time since{0};          // start of the current stage
+  bool released = false;  // the registration was ended
   bool ended = false;
 };
 
-// When the reducer last drove its whole state.
+// When the reducer last did all work that was due.
 struct DriveState {
-  bool due = false;  // events came since
+  bool due = false;  // events were handled since
   Time driven_at = Time::min();
-  Time kept_at = Time::min();    // also at what only time changes
-  Time forgot_at = Time::min();  // what is too old
+  Time kept_at = Time::min();    // last check of timeouts
+  Time forgot_at = Time::min();  // last removal of expired entries
 };
 
-// Totals for the metrics.
+// Totals since the start, for the metrics.
 struct Totals {
   std::uint64_t submitted = 0;
   std::uint64_t accepted = 0;
@@ -436,7 +455,7 @@
   AdviceCounts advice{};
 };
 
-// What was logged of lasting conditions.
+// State of the log of lasting conditions.
 struct NoticesState {
   Time seen_at = Time::min();
   Time cancels_seen_at = Time::min();
@@ -446,7 +465,7 @@
   Reminders stops{};       // by worker
   Reminders cancels{};     // by job
   Reminders waits{};       // by step
-  // When the cancel of a job that may still run was acknowledged.
+  // By job that may still run: when its cancel was acknowledged.
   std::map<std::string, Time> cancelled{};
 };
 
@@ -455,7 +474,7 @@
   std::mt19937_64 random{1};
   StoreState store{};
   std::array<Watch, kWatchedLists> watches{};
-  // As they were decoded last, by key.
+  // Text of each worker's entry as it was last decoded, by key.
   std::unordered_map<std::string, std::string> worker_entries{};
   MembersState members{};
   MembersReview members_review{};
@@ -467,17 +486,18 @@
   Time ownership_reviewed = Time::min();
   Time runs_reviewed = Time::min();
   std::map<std::string, GoneWorker> gone{};
-  // By then the leases have run out that this instance renewed at workers which
-  // it owns no more.
+  // By worker that this instance no longer owns: when the last lease that it
+  // renewed there expires.
   std::map<std::string, Time> released{};
   std::uint64_t last_lease_question = 0;
   Time leases_asked = Time::min();
-  std::map<std::string, RoomView> view{};
-  std::unordered_map<std::string, KnownJob> known{};  // of runs on own workers
+  std::map<std::string, RoomView> view{};  // by worker
+  // Jobs with runs on owned workers.
+  std::unordered_map<std::string, KnownJob> known{};
   std::unordered_map<std::string, CatalogEntry> catalog{};
-  std::set<std::string> catalog_wanted{};  // jobs that are to be read
+  std::set<std::string> catalog_wanted{};  // jobs to read
   std::map<std::string, Job> jobs{};
-  std::set<std::string> active{};  // jobs that have not ended
+  std::set<std::string> active{};  // owned jobs that have not ended
   WriterState writer{};
   std::map<std::uint64_t, WaitingCaller> callers{};
   std::uint64_t last_question = 0;
@@ -492,9 +512,9 @@
   AdviceState advice{};
   DigestState digest{};
   StopState stop{};
-  std::deque<PeerMessage> inbox{};  // from this instance to itself
+  std::deque<PeerMessage> inbox{};  // messages of this instance to itself
   DriveState drive{};
-  // That go out with this step, by the workers' owners.
+  // Stops to send at the end of this step, by the workers' owners.
   std::map<std::string, TaskStops> stops{};
   bool placement_due = false;
   Time placed_at = Time::min();
