--- a/Source/engine/limits.h
+++ b/Source/engine/limits.h
@@ -122,7 +122,7 @@
 
 // Jobs.
 
-// The runs of offers without a reply are queried after this long.
+// An offer without a reply is followed by a query after this long.
 inline constexpr Duration kOfferRepeat = milliseconds(500);
 // Runs without an update for this long are queried.
 inline constexpr Duration kRunCheck = milliseconds(3000);
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -163,8 +163,9 @@
   std::uint64_t fence = 0;
 };
 
+// The members, and this instance's own registration.
 struct MembersState {
-  std::uint64_t lease = 0;
+  std::uint64_t lease = 0;  // of the registration
   Time renew_at{0};
   bool renewing = false;
   Time renewal_sent{0};
@@ -279,16 +280,16 @@
   bool want_spec = false;
   Time read_at = Time::min();     // start of the last read of the record
   Time known_from = Time::min();  // start of the read that returned `record`
-  Time used{0};
+  Time used{0};                   // last use; unused entries expire
 };
 
-// A caller's query about a job that is waiting for a reply.
+// A pending query of a caller about a job.
 struct WaitingCaller {
   std::uint64_t call = 0;
   CallerQuestion question = CallerQuestion::kState;
   std::string job{};
-  Time since{0};
-  Time give_up{0};
+  Time since{0};        // when it arrived
+  Time give_up{0};      // when it is answered as not known
   std::string asked{};  // the member that was queried last
   Time asked_at = Time::min();
   // Only a record whose read began then or later is used.
@@ -301,9 +302,10 @@
   std::string after{};
 };
 
+// A stored job whose owner is lost.
 struct Orphan {
-  std::string owner{};  // the lost incarnation
-  bool writing = false;
+  std::string owner{};   // the lost incarnation
+  bool writing = false;  // the write of its adoption is in flight
 };
 
 // Queries about the adopted jobs whose recovery is not complete.
@@ -350,10 +352,10 @@
   Time asked_at = Time::min();
 };
 
-// Scan for records of ended jobs that have no owner.
+// A scan for records of ended jobs that have no owner.
 struct SweepState {
-  Time swept_at{
-      0};  // start of the last sweep; none is due right after the start
+  // Start of the last sweep. The first is not due right after the start.
+  Time swept_at{0};
   bool in_flight = false;
   std::string after{};
 };
--- a/Tests/engine/fleet.h
+++ b/Tests/engine/fleet.h
@@ -67,14 +67,15 @@
   bool RunUntil(const std::function<bool()>& holds, Duration span);
 
   void Kill(const std::string& node);
-  void Start(
-      const std::string& node);  // the first time or again, without state
+  // Starts the process, for the first time or again, without state.
+  void Start(const std::string& node);
   // Begins a planned stop. The process is killed if it has not exited within
   // the platform's grace.
   void StopPlanned(const std::string& node);
   bool IsUp(const std::string& node) const;
   // Whether it is up and does not refuse callers because of a planned stop.
   bool TakesCalls(const std::string& node) const;
+  // Delays all events of the instance until `span` has passed.
   void Freeze(const std::string& node, Duration span);
 
   // Returns the number of the call. Its reply appears in `answers`.
@@ -130,12 +131,13 @@
   std::map<std::string, Time> cancelled{};
   // When the last fault ended; kForever: faults may still occur.
   Time calm_since = kForever;
+  // Delay of commands with OrderFault::kLate.
   Duration late_by = std::chrono::milliseconds(3000);
   // One-way latency between instances and workers.
   Duration worker_way = std::chrono::milliseconds(1);
 
   FakeStore store{};
-  std::vector<SeenRun> seen{};
+  std::vector<SeenRun> seen{};  // all runs at the workers
   std::map<std::uint64_t, CallerAnswer> answers{};
   std::vector<LogLine> log{};
   std::vector<NoteSpan> spans{};
@@ -249,8 +251,8 @@
 
 // Checks what must hold in every test: no task has two runs at the same time,
 // none starts after its end `done` was acknowledged, no worker is given more
-// than its capacity, and no run of a cancelled job continues for more than 3.4
-// s after the acknowledgement if there are no faults.
+// than its capacity, and without faults no run of a cancelled job continues for
+// more than 3.4 s after the acknowledgement.
 void CheckPromises(Fleet& fleet);
 
 // Sets the plan for all tasks at all workers.
--- a/Tests/engine/fleet_callers.cc
+++ b/Tests/engine/fleet_callers.cc
@@ -32,8 +32,8 @@
 }
 
 std::uint64_t Fleet::Cancel(const std::string& node, const std::string& job) {
-  cancel_calls_[last_call_ + 1] =
-      job;  // before the call, which may reply at once
+  // Before the call, which may be answered at once.
+  cancel_calls_[last_call_ + 1] = job;
   return Ask(
       node,
       {.question = CallerQuestion::kCancel, .host = "h", .path = "/q/" + job});
--- a/Tests/engine/lasting_test.cc
+++ b/Tests/engine/lasting_test.cc
@@ -207,11 +207,11 @@
 // Guards against a late adoption: the member chosen for its jobs had just got
 // no reply from the store, took the end of the registration for an effect of
 // the outage, and waited 2 s for a new registration. The other members, whose
-// calls had succeeded, took the chosen one for the owner. In 6 of 12 runs of
-// one load, a lasting task that failed meanwhile was missing for 3.8 to 4.9 s:
-// `handed_over` at 9.02, `run_ended` at 9.18, and `job_adopted` only at 10.91,
-// when the next process of that machine registered, which then waited 2.1 s for
-// its list of workers. Jobs that others adopted recovered in 0.13 s.
+// calls had succeeded, took the chosen one for the owner. The job was adopted
+// only when the next process of that machine registered, which then waited 2.1
+// s for its list of workers. In 6 of 12 runs, a lasting task that failed
+// meanwhile was missing for 3.8 to 4.9 s; jobs that others adopted recovered in
+// 0.13 s.
 struct StoppingOwner {
   StoppingOwner() {
     StartJob(fleet);
--- a/Tests/engine/notices_test.cc
+++ b/Tests/engine/notices_test.cc
@@ -82,7 +82,7 @@
   fleet.Run(seconds(12));
   const auto waiting = LinesOf(fleet, EventNumber::kJobRecovering);
   REQUIRE(waiting.size() >= 3);
-  // Pauses of 1, 1, 2 and 4 s.
+  // Pauses of 1, 1, 2 and 4 s, so at most one line per second.
   CHECK(waiting.size() <= 5);
   CHECK(FieldOf(waiting[0], "job") == "j1");
   CHECK(FieldOf(waiting[0], "lists") == "read");
@@ -170,9 +170,9 @@
 }
 
 // Guards against a wrong cause of a wait during recovery. A lasting task of an
-// adopted job was logged as waiting for advice and then for placement for 2.4
-// s. In fact the report of one worker was missing: a task that is not known to
-// have ended is not started, even if there is room.
+// adopted job was logged for 2.4 s as waiting for advice and then for
+// placement. In fact the report of one worker was missing: a task that is not
+// known to have ended is not started, even if there is room.
 TEST_CASE("Logs that tasks that may still run wait for the recovery") {
   Fleet fleet;
   fleet.Settle();
@@ -338,9 +338,9 @@
   CHECK(LinesOf(fleet, EventNumber::kWorkerSilent).empty());
 }
 
-// Guards against a line for each attempt. `worker_silent` was logged every 0.7
-// s, 128 times in a day in which ten workers were lost: 30 KB that hid when the
-// workers had become unresponsive.
+// Guards against a line for each attempt. `worker_silent` was logged at each,
+// 0.7 s apart: 128 times in a day in which ten workers were lost. These 30 KB
+// hid when the workers had become unresponsive.
 TEST_CASE(
     "Logs once when a worker becomes unresponsive and once when it replies") {
   Fleet fleet;
