--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -124,20 +124,19 @@
            .patience = patience,
            .most_wait = may_decline ? wait + WaitDoubt(expected) : Duration(0),
            .workers = workers});
-  advice.questions.emplace(call,
-                           AdviceQuestion{.step = step,
-                                          .member = member,
-                                          .workers = std::move(workers),
-                                          .priority = ready.queue->priority,
-                                          .reason = ReasonOf(context, ready),
-                                          .expected = expected,
-                                          .asked = context.now,
-                                          .due = context.now + wait + expected,
-                                          .give_up = context.now + patience});
+  advice.queries.emplace(call, AdviceQuery{.step = step,
+                                           .member = member,
+                                           .workers = std::move(workers),
+                                           .priority = ready.queue->priority,
+                                           .reason = ReasonOf(context, ready),
+                                           .expected = expected,
+                                           .sent_at = context.now,
+                                           .due = context.now + wait + expected,
+                                           .deadline = context.now + patience});
 }
 
 // To be called before the answer's tickets are taken.
-void LearnShare(const AdviceQuestion& question,
+void LearnShare(const AdviceQuery& question,
                 const AdviceReply& given,
                 const StepRun& step,
                 AllowedShare& share) {
@@ -155,7 +154,7 @@
 void TakeTickets(Time now,
                  StepRun& step,
                  const AdvicePolicy& policy,
-                 const AdviceQuestion& question,
+                 const AdviceQuery& question,
                  const AdviceReply& given) {
   step.advised_at = std::min(step.advised_at, now);
   std::set<std::string> allowed;
@@ -174,7 +173,7 @@
 }
 
 // The step that was asked for is free to be asked for again.
-StepRun* EndQuestion(Context& context, const AdviceQuestion& question) {
+StepRun* EndQuestion(Context& context, const AdviceQuery& question) {
   Job* job = FindJob(context.state, question.step.job);
   if (job == nullptr) {
     return nullptr;
@@ -185,7 +184,7 @@
 }
 
 void CountAnswer(Context& context,
-                 const AdviceQuestion& question,
+                 const AdviceQuery& question,
                  const AdviceReply& reply,
                  bool unused) {
   if (reply.declined || reply.failed) {
@@ -200,9 +199,9 @@
 }
 
 void GiveUpQuestions(Context& context) {
-  std::erase_if(context.state.advice.questions, [&](const auto& it) {
+  std::erase_if(context.state.advice.queries, [&](const auto& it) {
     const bool lost = IsLost(context, it.second);
-    if (context.now < it.second.give_up && !lost) {
+    if (context.now < it.second.deadline && !lost) {
       return false;
     }
     if (StepRun* step = EndQuestion(context, it.second)) {
@@ -242,11 +241,11 @@
   // Also for an answer that comes too late to be used: its member would be
   // avoided as silent until its next digest.
   HearOfCaller(context, from, reply.wait, reply.urgent_wait);
-  auto node = context.state.advice.questions.extract(reply.call);
+  auto node = context.state.advice.queries.extract(reply.call);
   if (node.empty()) {
     return;
   }
-  const AdviceQuestion& question = node.mapped();
+  const AdviceQuery& question = node.mapped();
   StepRun* step = EndQuestion(context, question);
   const Job* job = FindJob(context.state, question.step.job);
   const QueuePolicy* queue =
--- a/Source/engine/advice/advice_callers.cc
+++ b/Source/engine/advice/advice_callers.cc
@@ -48,7 +48,7 @@
 }
 
 Time HeardAt(const Context& context, const std::string& member) {
-  const auto& heard = context.state.advice.heard;
+  const auto& heard = context.state.advice.reported_at;
   const auto it = heard.find(member);
   return it == heard.end() ? Time::min() : it->second;
 }
@@ -57,7 +57,7 @@
                const std::string& member,
                Time heard_since) {
   return member == context.self() ||
-         (!context.state.advice.silent.contains(member) &&
+         (!context.state.advice.unresponsive.contains(member) &&
           HeardAt(context, member) >= heard_since);
 }
 
@@ -143,7 +143,7 @@
   const auto& waits = urgent ? advice.urgent_waits : advice.waits;
   const auto told = waits.find(member);
   Duration wait = told == waits.end() ? Duration(0) : told->second;
-  for (const auto& [call, question] : advice.questions) {
+  for (const auto& [call, question] : advice.queries) {
     const bool before = !urgent || question.priority == kMostUrgent;
     if (question.member == member && before) {
       wait += question.expected;
@@ -173,40 +173,40 @@
   AdviceState& advice = context.state.advice;
   advice.waits[member] = wait;
   advice.urgent_waits[member] = urgent_wait;
-  advice.heard[member] = context.now;
-  advice.silent.erase(member);
+  advice.reported_at[member] = context.now;
+  advice.unresponsive.erase(member);
 }
 
 void ForgetCaller(Context& context, const std::string& member) {
   AdviceState& advice = context.state.advice;
   advice.waits.erase(member);
   advice.urgent_waits.erase(member);
-  advice.heard.erase(member);
-  advice.silent.erase(member);
+  advice.reported_at.erase(member);
+  advice.unresponsive.erase(member);
 }
 
-void LeaveCaller(Context& context, const AdviceQuestion& question) {
+void LeaveCaller(Context& context, const AdviceQuery& question) {
   if (FindMember(context.state, question.member) == nullptr) {
     return;
   }
   AdviceState& advice = context.state.advice;
   if (IsLost(context, question)) {
-    advice.silent.insert(question.member);
+    advice.unresponsive.insert(question.member);
   }
   // It is busier than it has reported.
   for (auto* waits : {&advice.waits, &advice.urgent_waits}) {
     Duration& wait = (*waits)[question.member];
-    wait = std::max(wait, context.now - question.asked);
+    wait = std::max(wait, context.now - question.sent_at);
   }
 }
 
-bool IsLost(const Context& context, const AdviceQuestion& question) {
+bool IsLost(const Context& context, const AdviceQuery& question) {
   const std::string& member = question.member;
   if (member == context.self()) {
     return false;
   }
   const bool owes = context.now >= question.due + kSilence &&
-                    HeardAt(context, member) < question.asked;
+                    HeardAt(context, member) < question.sent_at;
   return owes || FindMember(context.state, member) == nullptr;
 }
 
--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -30,7 +30,7 @@
 
 // Whether whoever was asked has gone, and the question with it, or owes the
 // answer and has sent nothing since it was asked.
-bool IsLost(const Context& context, const AdviceQuestion& question);
+bool IsLost(const Context& context, const AdviceQuery& question);
 
 // How long one more call of this priority would wait there, as far as is known
 // here.
@@ -42,7 +42,7 @@
 Duration WaitDoubt(Duration expected);
 
 // The question is given up: its member is avoided until it reports its wait.
-void LeaveCaller(Context& context, const AdviceQuestion& question);
+void LeaveCaller(Context& context, const AdviceQuery& question);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advice_turns.cc
+++ b/Source/engine/advice/advice_turns.cc
@@ -27,16 +27,17 @@
 constexpr std::int64_t kLateParts = 2;
 
 Duration LatenessAt(const AdviceState& advice, Time now) {
-  const Duration left = std::max(advice.late_at + kLateSpan - now, Duration(0));
-  return advice.late * left.count() / kLateSpan.count();
+  const Duration left =
+      std::max(advice.overrun_at + kLateSpan - now, Duration(0));
+  return advice.overrun * left.count() / kLateSpan.count();
 }
 
 void NoteLateness(AdviceState& advice, Time now, Duration expected) {
   const Duration late =
       std::max(now - advice.called_at - expected, Duration(0));
   const Duration before = LatenessAt(advice, now);
-  advice.late = before + (late - before) / kLateParts;
-  advice.late_at = now;
+  advice.overrun = before + (late - before) / kLateParts;
+  advice.overrun_at = now;
 }
 
 // How long a call of this priority would wait here.
@@ -46,12 +47,13 @@
   Duration wait = late;
   if (advice.in_flight) {
     const Duration gone = now - advice.called_at;
-    wait += std::max(advice.in_flight->ask.expected + late - gone, Duration(0));
+    wait +=
+        std::max(advice.in_flight->request.expected + late - gone, Duration(0));
   }
-  for (const AdviceTurn& it : advice.turns) {
+  for (const QueuedAdviceCall& it : advice.call_queue) {
     const bool before =
-        priority != kMostUrgent || it.ask.priority == kMostUrgent;
-    wait += before ? it.ask.expected + late : Duration(0);
+        priority != kMostUrgent || it.request.priority == kMostUrgent;
+    wait += before ? it.request.expected + late : Duration(0);
   }
   return wait;
 }
@@ -59,17 +61,19 @@
 // Lower is earlier. The most urgent calls come first, the others nearly in the
 // order that they came: strict priorities would leave the last queue's steps
 // without any ticket.
-std::tuple<bool, Time> RankOf(const AdviceTurn& turn) {
-  return {turn.ask.priority != kMostUrgent,
-          turn.arrived + kPriorityLead * turn.ask.priority -
-              (turn.ask.lasting ? kLastingLead : Duration(0))};
+std::tuple<bool, Time> RankOf(const QueuedAdviceCall& turn) {
+  return {turn.request.priority != kMostUrgent,
+          turn.received_at + kPriorityLead * turn.request.priority -
+              (turn.request.lasting ? kLastingLead : Duration(0))};
 }
 
-std::deque<AdviceTurn>::iterator NextTurn(std::deque<AdviceTurn>& turns) {
-  return std::min_element(turns.begin(), turns.end(),
-                          [](const AdviceTurn& left, const AdviceTurn& right) {
-                            return RankOf(left) < RankOf(right);
-                          });
+std::deque<QueuedAdviceCall>::iterator NextTurn(
+    std::deque<QueuedAdviceCall>& turns) {
+  return std::min_element(
+      turns.begin(), turns.end(),
+      [](const QueuedAdviceCall& left, const QueuedAdviceCall& right) {
+        return RankOf(left) < RankOf(right);
+      });
 }
 
 // One that has registered just now may ask before this instance has read so.
@@ -83,11 +87,13 @@
 // waiting, who then give up too. It shows by waiting steps whose question is
 // younger than their wait.
 void DropStaleTurns(Context& context) {
-  std::erase_if(context.state.advice.turns, [&](const AdviceTurn& it) {
-    const bool given_up = it.ask.patience != Duration(0) &&
-                          context.now >= it.arrived + it.ask.patience;
-    return given_up || HasGone(context, it.from);
-  });
+  std::erase_if(context.state.advice.call_queue,
+                [&](const QueuedAdviceCall& it) {
+                  const bool given_up =
+                      it.request.patience != Duration(0) &&
+                      context.now >= it.received_at + it.request.patience;
+                  return given_up || HasGone(context, it.from);
+                });
 }
 
 }  // namespace
@@ -98,16 +104,17 @@
     return;
   }
   DropStaleTurns(context);
-  if (advice.turns.empty()) {
+  if (advice.call_queue.empty()) {
     return;
   }
-  const auto next = NextTurn(advice.turns);
+  const auto next = NextTurn(advice.call_queue);
   advice.in_flight = std::move(*next);
-  advice.turns.erase(next);
+  advice.call_queue.erase(next);
   advice.called_at = context.now;
-  context.Emit(CallAdvice{.request = {.step = advice.in_flight->ask.step,
-                                      .workers = advice.in_flight->ask.workers},
-                          .timeout = kAdviceTimeout});
+  context.Emit(
+      CallAdvice{.request = {.step = advice.in_flight->request.step,
+                             .workers = advice.in_flight->request.workers},
+                 .timeout = kAdviceTimeout});
 }
 
 void OnAdviceAsk(Context& context,
@@ -123,8 +130,8 @@
                             .urgent_wait =
                                 UrgentAdviceWait(context.state, context.now)});
   }
-  context.state.advice.turns.push_back(
-      {.from = from, .ask = ask, .arrived = context.now});
+  context.state.advice.call_queue.push_back(
+      {.from = from, .request = ask, .received_at = context.now});
 }
 
 void OnAdviceAnswered(Context& context, const AdviceAnswered& event) {
@@ -132,14 +139,14 @@
   if (!advice.in_flight) {
     return;
   }
-  const AdviceTurn turn = *std::exchange(advice.in_flight, std::nullopt);
-  NoteLateness(advice, context.now, turn.ask.expected);
+  const QueuedAdviceCall turn = *std::exchange(advice.in_flight, std::nullopt);
+  NoteLateness(advice, context.now, turn.request.expected);
   AdviceReply reply{
-      .call = turn.ask.call,
+      .call = turn.request.call,
       .wait = AdviceWait(context.state, context.now),
       .urgent_wait = UrgentAdviceWait(context.state, context.now)};
   if (const auto* failed = std::get_if<AdviceFailed>(&event.answer)) {
-    advice.retry_at = context.now + kAdviceRetry;
+    advice.retry_at = context.now + kAdviceRetryDelay;
     reply.failed = true;
     context.Log(EventNumber::kAdviceFailed,
                 {{"step", event.request.step}, {"problem", failed->detail}});
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -138,7 +138,7 @@
   std::vector<std::string> chosen;
   for (const Named& it : names) {
     const bool roomless = !it.has_room && chosen.size() >= kRoomlessNames;
-    if (roomless || chosen.size() == kMaxAdvised || NamesEnough(call)) {
+    if (roomless || chosen.size() == kMaxAdvisedWorkers || NamesEnough(call)) {
       break;
     }
     chosen.push_back(it.id);
--- a/Source/engine/call_fields.h
+++ b/Source/engine/call_fields.h
@@ -163,7 +163,7 @@
 };
 
 template <>
-struct FieldsOf<engine::HoldWorker> {
+struct FieldsOf<engine::PollWorker> {
   template <typename Codec, typename Value>
   static void Visit(Codec& codec, Value& it) {
     codec.Field("fence", it.fence);
--- a/Source/engine/calls.cc
+++ b/Source/engine/calls.cc
@@ -13,7 +13,7 @@
 
 const char* RefusalText(RefusalCause cause) {
   switch (cause) {
-    case RefusalCause::kStoreAway:
+    case RefusalCause::kStoreUnavailable:
       return "the store can't be reached";
     case RefusalCause::kStopping:
       return "this entry instance stops";
--- a/Source/engine/calls.h
+++ b/Source/engine/calls.h
@@ -142,12 +142,12 @@
 
 // A long poll that takes or renews the ownership of the worker and the lease of
 // its runs, and returns the runs and their ends.
-struct HoldWorker {
+struct PollWorker {
   std::uint64_t fence = 0;
   std::uint64_t acknowledged = 0;   // ends up to this sequence may be dropped
   std::int64_t lease_until_ms = 0;  // on the worker's clock; 0: no renewal
   Duration wait{0};                 // longest time until an end is listed
-  auto operator<=>(const HoldWorker&) const = default;
+  auto operator<=>(const PollWorker&) const = default;
 };
 
 struct StartRun {
@@ -177,7 +177,7 @@
   auto operator<=>(const PaceRun&) const = default;
 };
 
-using WorkerRequest = std::variant<HoldWorker, StartRun, StopRun, PaceRun>;
+using WorkerRequest = std::variant<PollWorker, StartRun, StopRun, PaceRun>;
 
 // A run in a worker's listing.
 struct RunningRow {
@@ -340,11 +340,11 @@
 
 // Callers.
 
-enum class CallerQuestion { kSubmit, kState, kCancel, kWaiting };
+enum class CallerQuery { kSubmit, kState, kCancel, kWaiting };
 
 // Names either the queue and the job, or a host and path that identify them.
 struct CallerRequest {
-  CallerQuestion question = CallerQuestion::kState;
+  CallerQuery query = CallerQuery::kState;
   std::string host{};
   std::string path{};
   std::string queue{};
@@ -357,20 +357,20 @@
   auto operator<=>(const JobAccepted&) const = default;
 };
 
-struct JobShown {
+struct JobStateFound {
   JobState state = JobState::kQueued;
-  auto operator<=>(const JobShown&) const = default;
+  auto operator<=>(const JobStateFound&) const = default;
 };
 
-struct CancelTaken {
+struct CancelAccepted {
   JobState state = JobState::kCancelled;  // or the state in which it had ended
-  auto operator<=>(const CancelTaken&) const = default;
+  auto operator<=>(const CancelAccepted&) const = default;
 };
 
 // The number of jobs of a queue that wait.
-struct WaitingShown {
+struct WaitingCount {
   std::uint32_t jobs = 0;
-  auto operator<=>(const WaitingShown&) const = default;
+  auto operator<=>(const WaitingCount&) const = default;
 };
 
 struct NoSuchQueue {
@@ -387,37 +387,37 @@
 };
 
 enum class RefusalCause {
-  kStoreAway,  // the store is unavailable, so nothing can be written
-  kStopping,   // this entry instance is stopping
-  kNotReady,   // it has no configuration yet
+  kStoreUnavailable,  // the store is unavailable, so nothing can be written
+  kStopping,          // this entry instance is stopping
+  kNotReady,          // it has no configuration yet
 };
 
 const char* RefusalText(RefusalCause cause);
 
 // The request had no effect and will have none. A retry after `retry_after` may
 // succeed.
-struct NotNow {
-  RefusalCause cause = RefusalCause::kStoreAway;
+struct Unavailable {
+  RefusalCause cause = RefusalCause::kStoreUnavailable;
   std::string detail{};
   Duration retry_after{0};
-  auto operator<=>(const NotNow&) const = default;
+  auto operator<=>(const Unavailable&) const = default;
 };
 
 // The outcome is unknown. The caller repeats the request.
-struct NotKnown {
+struct OutcomeUnknown {
   std::string detail{};
-  auto operator<=>(const NotKnown&) const = default;
+  auto operator<=>(const OutcomeUnknown&) const = default;
 };
 
 using CallerAnswer = std::variant<JobAccepted,
-                                  JobShown,
-                                  CancelTaken,
-                                  WaitingShown,
+                                  JobStateFound,
+                                  CancelAccepted,
+                                  WaitingCount,
                                   NoSuchQueue,
                                   NoSuchJob,
                                   BadRequest,
-                                  NotNow,
-                                  NotKnown>;
+                                  Unavailable,
+                                  OutcomeUnknown>;
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/notices.cc
+++ b/Source/engine/condition_log.cc
@@ -1,4 +1,4 @@
-#include "engine/notices.h"
+#include "engine/condition_log.h"
 
 #include <algorithm>
 #include <map>
@@ -54,7 +54,7 @@
   const bool unlisted = listed != nullptr && !listed->listed;
   return fmt::format(
       "{}@{}:{}{}", id, OwnerName(context, id),
-      reported ? Milliseconds(context.now - view->second.heard) : "-",
+      reported ? Milliseconds(context.now - view->second.updated_at) : "-",
       unlisted ? ":unlisted" : "");
 }
 
@@ -65,7 +65,7 @@
     const std::string& it = context.state.recovery.numbers.NameOf(number);
     const auto view = context.state.view.find(it);
     const bool reported = view != context.state.view.end();
-    workers.emplace_back(reported ? view->second.heard : Time::min(), it);
+    workers.emplace_back(reported ? view->second.updated_at : Time::min(), it);
   }
   const std::size_t n = std::min(kMaxNamed, workers.size());
   std::partial_sort(workers.begin(),
@@ -80,10 +80,10 @@
 }
 
 void LogRecoveries(Context& context) {
-  Reminders& reminders = context.state.notices.recoveries;
+  LogRepeatLimiter& limiter = context.state.condition_log.recoveries;
   for (const std::string& id : context.state.active) {
     const Job& job = context.state.jobs.at(id);
-    if (job.recovering && reminders.IsDue(id, context.now, job.created)) {
+    if (job.recovering && limiter.IsDue(id, context.now, job.created)) {
       context.Log(
           EventNumber::kJobRecovering,
           {{"job", id},
@@ -96,7 +96,7 @@
            {"workers", DescribeUnreported(context, job)}});
     }
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
 // Logs claims of workers that do not reply. Such a worker is declared lost only
@@ -104,11 +104,11 @@
 // refused claim is no such case: it is repeated with a higher fence from the
 // store.
 void LogClaims(Context& context) {
-  Reminders& reminders = context.state.notices.claims;
+  LogRepeatLimiter& limiter = context.state.condition_log.claims;
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
     const bool waits = IsSilent(worker) && leases_end > context.now;
-    if (!waits || !reminders.IsDue(id, context.now, worker.silent_since)) {
+    if (!waits || !limiter.IsDue(id, context.now, worker.silent_since)) {
       continue;
     }
     const auto view = context.state.view.find(id);
@@ -121,11 +121,11 @@
                  {"for_ms", Milliseconds(context.now - worker.silent_since)},
                  {"left_ms", Milliseconds(leases_end - context.now)}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
 void LogStops(Context& context) {
-  Reminders& reminders = context.state.notices.stops;
+  LogRepeatLimiter& limiter = context.state.condition_log.stops;
   for (const auto& [id, worker] : context.state.owned) {
     std::size_t n = 0;
     std::pair<Time, std::string> oldest{kForever, ""};
@@ -135,7 +135,7 @@
         oldest = std::min(oldest, {run.since, task});
       }
     }
-    if (n == 0 || !reminders.IsDue(id, context.now, oldest.first)) {
+    if (n == 0 || !limiter.IsDue(id, context.now, oldest.first)) {
       continue;
     }
     context.Log(EventNumber::kStopUnanswered,
@@ -146,17 +146,17 @@
                  {"for_ms", Milliseconds(context.now - oldest.first)},
                  {"silent", IsSilent(worker) ? "yes" : "no"}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
 // Logs why tasks wait: for room, for tickets or for a reply.
 void LogWaits(Context& context) {
-  Reminders& reminders = context.state.notices.waits;
+  LogRepeatLimiter& limiter = context.state.condition_log.waits;
   for (const ReadyStep& it : ReadySteps(context)) {
     const Time since = OldestWait(it);
     const std::string step = StepName(
         {.job = it.job->id, .occurrence = it.occurrence, .step = it.step});
-    if (since == kForever || !reminders.IsDue(step, context.now, since)) {
+    if (since == kForever || !limiter.IsDue(step, context.now, since)) {
       continue;
     }
     const StepWait wait = WaitOf(context, it);
@@ -171,7 +171,7 @@
                  {"denied", std::to_string(wait.denied)},
                  {"asked_ms", Milliseconds(wait.asked)}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
 // CALLS:NAMES:ALLOWED:STARTS:MS:UNUSED:GIVEN_UP
@@ -219,7 +219,7 @@
     context.Log(EventNumber::kCancelOver,
                 {{"job", job.id}, {"after_ms", Milliseconds(after)}});
   } else if (over ||
-             (after > bound && context.state.notices.cancels.IsDue(
+             (after > bound && context.state.condition_log.cancels.IsDue(
                                    job.id, context.now, acknowledged))) {
     context.Log(EventNumber::kCancelLate,
                 {{"job", job.id},
@@ -228,52 +228,55 @@
                  {"runs", DescribeRuns(context, runs)}});
   }
   if (over) {
-    context.Emit(NoteSpan{.span = MeasuredSpan::kCancel, .took = after});
-    context.state.notices.cancelled.erase(job.id);
+    context.Emit(RecordSpan{.span = MeasuredSpan::kCancel, .took = after});
+    context.state.condition_log.cancelled.erase(job.id);
   }
 }
 
 void CheckCancels(Context& context) {
   // A copy, as CheckCancel() erases entries.
-  const std::map<std::string, Time> cancelled = context.state.notices.cancelled;
+  const std::map<std::string, Time> cancelled =
+      context.state.condition_log.cancelled;
   for (const auto& [id, acknowledged] : cancelled) {
     if (const Job* job = FindJob(context.state, id)) {
       CheckCancel(context, *job, acknowledged);
     } else {
-      context.state.notices.cancelled.erase(id);
+      context.state.condition_log.cancelled.erase(id);
     }
   }
-  context.state.notices.cancels.EndRound();
+  context.state.condition_log.cancels.EndRound();
 }
 
 }  // namespace
 
-void DriveNotices(Context& context) {
-  const bool stopping = context.state.stop.asked;
+void DriveConditionLog(Context& context) {
+  const bool stopping = context.state.stop.requested;
   for (LogLine& it : context.state.end_log.TakeDone(context.now, stopping)) {
     context.Log(it.number, std::move(it.fields));
   }
-  NoticesState& notices = context.state.notices;
-  if (!notices.cancelled.empty() &&
-      HasPassed(context.now, notices.cancels_seen_at, kCancelCheckInterval)) {
-    notices.cancels_seen_at = context.now;
+  ConditionLogState& condition_log = context.state.condition_log;
+  if (!condition_log.cancelled.empty() &&
+      HasPassed(context.now, condition_log.cancels_checked_at,
+                kCancelCheckInterval)) {
+    condition_log.cancels_checked_at = context.now;
     CheckCancels(context);
   }
-  if (HasPassed(context.now, notices.advice_told_at, kAdviceLogInterval)) {
-    notices.advice_told_at = context.now;
+  if (HasPassed(context.now, condition_log.advice_logged_at,
+                kAdviceLogInterval)) {
+    condition_log.advice_logged_at = context.now;
     LogAdviceTotals(context);
   }
-  if (!HasPassed(context.now, notices.seen_at, kCheckInterval)) {
+  if (!HasPassed(context.now, condition_log.checked_at, kCheckInterval)) {
     return;
   }
-  notices.seen_at = context.now;
+  condition_log.checked_at = context.now;
   LogRecoveries(context);
   LogClaims(context);
   LogStops(context);
   LogWaits(context);
 }
 
-void NoteRecovered(Context& context, const Job& job) {
+void LogRecovered(Context& context, const Job& job) {
   std::size_t to_start = 0;
   for (std::uint32_t k = 0; k < job.occurrences.size(); ++k) {
     const auto& steps = job.occurrences[k].steps;
@@ -295,7 +298,7 @@
                {"to_start", std::to_string(to_start)}});
 }
 
-void NoteCancelAcknowledged(Context& context, const Job& job) {
+void TrackAcknowledgedCancel(Context& context, const Job& job) {
   if (job.stored_state != JobState::kCancelled) {
     return;
   }
@@ -304,7 +307,7 @@
               {{"job", job.id},
                {"after_ms", Milliseconds(context.now - job.ended_at)},
                {"out", std::to_string(runs.size())}});
-  context.state.notices.cancelled.emplace(job.id, context.now);
+  context.state.condition_log.cancelled.emplace(job.id, context.now);
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/configuration.h
+++ b/Source/engine/configuration.h
@@ -41,7 +41,7 @@
   auto operator<=>(const QueuePolicy&) const = default;
 };
 
-// A group of workers of one kind.
+// A service: a pool of workers that runs the tasks of its queues.
 struct ServicePolicy {
   std::string name{};
   bool guards_room = false;  // its workers refuse tasks that exceed their room
--- a/Source/engine/event.h
+++ b/Source/engine/event.h
@@ -20,7 +20,7 @@
 struct Started {};
 struct TimePassed {};
 
-struct CallerAsked {
+struct CallerRequestReceived {
   std::uint64_t call = 0;  // assigned by the server of the callers
   CallerRequest request{};
 };
@@ -34,7 +34,7 @@
   std::string worker{};
   WorkerRequest request{};
   WorkerAnswer answer{};
-  Time asked{0};  // when the call was sent
+  Time called_at{0};  // when the call was sent
 };
 
 struct AdviceAnswered {
@@ -47,13 +47,13 @@
   MachineAnswer answer{};
 };
 
-struct PeerSaid {
+struct PeerMessageReceived {
   std::string from{};  // an incarnation
   PeerMessage message{};
 };
 
 // The process is to stop as planned: it hands over its work first.
-struct StopAsked {};
+struct StopRequested {};
 
 // New settings were read.
 struct BoundsChanged {
@@ -62,13 +62,13 @@
 
 using EventBody = std::variant<Started,
                                TimePassed,
-                               CallerAsked,
+                               CallerRequestReceived,
                                StoreAnswered,
                                WorkerAnswered,
                                AdviceAnswered,
                                MachinesAnswered,
-                               PeerSaid,
-                               StopAsked,
+                               PeerMessageReceived,
+                               StopRequested,
                                BoundsChanged>;
 
 struct Event {
@@ -125,7 +125,7 @@
 };
 
 // Adds a time span to the metrics.
-struct NoteSpan {
+struct RecordSpan {
   MeasuredSpan span = MeasuredSpan::kStart;
   Duration took{0};
 };
@@ -146,7 +146,7 @@
                             CallMachines,
                             SendPeer,
                             WriteLog,
-                            NoteSpan,
+                            RecordSpan,
                             ApplyLimits,
                             EndProcess>;
 using Effects = std::vector<Effect>;
--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -36,7 +36,7 @@
 void ReadScan(Context& context, const std::string& prefix, OrphanScan& scan) {
   scan.in_flight = true;
   AskStore(context, StoreRange{.prefix = prefix, .after = scan.after},
-           ForOrphans{.prefix = prefix});
+           ForOrphanScan{.prefix = prefix});
 }
 
 void BeginScan(Context& context, const std::string& prefix) {
@@ -193,7 +193,8 @@
   if (page == nullptr) {
     // The regular scan comes to it again.
     context.state.scans.erase(it);
-    context.state.scanned_at = context.now - kOrphanScan + kStoreRetry;
+    context.state.scanned_at =
+        context.now - kOrphanScanInterval + kStoreRetryDelay;
     return;
   }
   for (const StoreItem& item : page->items) {
@@ -210,8 +211,10 @@
 }
 
 void DriveAdoption(Context& context) {
-  const bool ready = IsRegistered(context.state) && !context.state.stop.asked;
-  if (ready && HasPassed(context.now, context.state.scanned_at, kOrphanScan)) {
+  const bool ready =
+      IsRegistered(context.state) && !context.state.stop.requested;
+  if (ready &&
+      HasPassed(context.now, context.state.scanned_at, kOrphanScanInterval)) {
     ScanAllOrphans(context);
   }
   std::vector<std::string> forgotten;
--- a/Source/engine/jobs/candidates.cc
+++ b/Source/engine/jobs/candidates.cc
@@ -51,14 +51,15 @@
     listed.view = it == state.view.end() ? nullptr : &it->second;
   }
   RoomView* view = listed.view;
-  if (view == nullptr || !view->accepting || view->gone) {
+  if (view == nullptr || !view->accepting || view->lost) {
     return nullptr;
   }
   if (view->checked_version != state.members.version) {
     view->checked_version = state.members.version;
     view->owner_is_member = FindMember(state, view->owner) != nullptr;
   }
-  if (!view->owner_is_member || state.silence.silent.contains(view->owner)) {
+  if (!view->owner_is_member ||
+      state.unresponsive_members.unresponsive.contains(view->owner)) {
     return nullptr;
   }
   return view;
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -46,7 +46,7 @@
                    const TaskName& name,
                    Task& task) {
   if (!IsOnlyBooked(job, name, task) ||
-      !HasPassed(context.now, task.since, kBookingTime)) {
+      !HasPassed(context.now, task.since, kBookingTimeout)) {
     return;
   }
   if (!task.booked) {
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -3,9 +3,9 @@
 #include <map>
 #include <utility>
 
+#include "engine/condition_log.h"
 #include "engine/jobs/job_table.h"
 #include "engine/jobs/questions.h"
-#include "engine/notices.h"
 #include "engine/records/record_writer.h"
 
 namespace burdockrock::engine {
@@ -69,7 +69,7 @@
 void QueueForget(Context& context, const Job& job) {
   QueueChange(
       context,
-      Change{.kind = ChangeKind::kForgetJob,
+      Change{.kind = ChangeKind::kRemoveJob,
              .job = job.id,
              .conditions = {{.key = JobKey(job.id), .revision = job.revision}},
              .removes = {JobKey(job.id), SpecKey(job.id)}});
@@ -207,7 +207,7 @@
   }
   AnswerWatchers(context, *job, true);
   if (!job->cancellers.empty()) {
-    NoteCancelAcknowledged(context, *job);
+    TrackAcknowledgedCancel(context, *job);
   }
   for (const Asker& it : std::exchange(job->cancellers, {})) {
     AnswerCancel(context, it, job->stored_state);
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -93,9 +93,10 @@
                     const OfferAnswer& answer) {
   if (answer.outcome == OfferOutcome::kOldRun ||
       answer.outcome == OfferOutcome::kOldOwner) {
-    return kOfferRepeat;  // the end of a run as high may be on its way
+    return kOfferRetryDelay;  // the end of a run as high may be on its way
   }
-  return LooksFree(context, place, answer.worker) ? kRefusedPause : Duration(0);
+  return LooksFree(context, place, answer.worker) ? kRefusedTaskDelay
+                                                  : Duration(0);
 }
 
 void OnRefused(Context& context,
@@ -252,7 +253,7 @@
     return OnCopyReport(context, task, RunState::kAbsent);
   }
   if (report.run == task.run && IsOut(task) && !PromoteCopy(context, task)) {
-    Requeue(context, task, kFailedPause);
+    Requeue(context, task, kFailedTaskDelay);
     if (place.spec.gang) {
       BreakGang(context, place);
     }
@@ -298,15 +299,15 @@
                Task& task,
                std::map<std::string, RunQueries>& queries) {
   const Duration patience =
-      task.phase == TaskPhase::kOffered ? kOfferRepeat : kRunCheck;
+      task.phase == TaskPhase::kOffered ? kOfferRetryDelay : kRunQueryDelay;
   // The worker's owner must be asked for the run even if it reports it unasked:
   // it takes a run that nobody asks for as forgotten.
   const bool due = HasPassed(context.now, task.heard, patience) ||
-                   HasPassed(context.now, task.queried, kRunCheck);
+                   HasPassed(context.now, task.queried, kRunQueryDelay);
   if (!IsOut(task) || task.stopping || !due) {
     return;
   }
-  task.heard = context.now - patience + kOfferRepeat;
+  task.heard = context.now - patience + kOfferRetryDelay;
   task.queried = context.now;
   const std::string owner = OwnerOfWorker(context, task.worker);
   if (!owner.empty()) {
@@ -331,7 +332,8 @@
     }
     // Reports that the run is still there do not delay the next order: an
     // adopter gets them with each question.
-    if (task.stopping && HasPassed(context.now, task.stop_sent, kOfferRepeat)) {
+    if (task.stopping &&
+        HasPassed(context.now, task.stop_sent, kOfferRetryDelay)) {
       StopTask(context, job, name, task);
     }
     if (ended && task.copy && !task.copy->stopping) {
@@ -395,8 +397,8 @@
     }
     if (it.outcome == OfferOutcome::kStarted) {
       if (place->task.phase == TaskPhase::kOffered) {
-        context.Emit(NoteSpan{.span = MeasuredSpan::kStart,
-                              .took = context.now - place->task.since});
+        context.Emit(RecordSpan{.span = MeasuredSpan::kStart,
+                                .took = context.now - place->task.since});
       }
       MarkRunning(context, place->job, place->step, place->task);
     } else if (it.outcome == OfferOutcome::kBooked) {
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -109,7 +109,7 @@
     if (Fits(RoomOf(run.spec), PresentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
       OrderStart(context, id, worker, task, run);
-    } else if (HasPassed(context.now, run.since, kStartPatience)) {
+    } else if (HasPassed(context.now, run.since, kStartTimeout)) {
       late.push_back(task);
     }
   }
--- a/Source/engine/jobs/questions.cc
+++ b/Source/engine/jobs/questions.cc
@@ -34,9 +34,9 @@
   context.Log(EventNumber::kRequestRefused,
               {{"job", job}, {"cause", RefusalText(cause)}});
   Answer(context, call,
-         NotNow{.cause = cause,
-                .detail = RefusalText(cause),
-                .retry_after = kRetryAfter});
+         Unavailable{.cause = cause,
+                     .detail = RefusalText(cause),
+                     .retry_after = kRetryAfter});
 }
 
 bool IsJobId(std::string_view id) {
@@ -102,11 +102,11 @@
     job->submitters.push_back(call);
     return;
   }
-  if (context.state.stop.asked) {
+  if (context.state.stop.requested) {
     return Refuse(context, call, id, RefusalCause::kStopping);
   }
   if (!IsRegistered(context.state) || !context.state.store.healthy) {
-    return Refuse(context, call, id, RefusalCause::kStoreAway);
+    return Refuse(context, call, id, RefusalCause::kStoreUnavailable);
   }
   auto fault = CheckSpec(spec);
   if (!fault) {
@@ -133,18 +133,18 @@
 // When a question that comes now is given up: in time for the caller, before
 // the process may be killed, and never at once.
 Time QuestionDeadline(const Context& context) {
-  const Time usual = context.now + kQuestionPatience;
-  if (!context.state.stop.asked) {
+  const Time usual = context.now + kCallerQueryTimeout;
+  if (!context.state.stop.requested) {
     return usual;
   }
-  return std::min(
-      usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
+  return std::min(usual, std::max(StopDeadline(context.state),
+                                  context.now + kPeerReplyTimeout));
 }
 
 void TellState(Context& context, const Asker& asker, const Job& job) {
   const JobState state = ShownState(job);
   if (asker.member.empty()) {
-    return Answer(context, asker.call, JobShown{.state = state});
+    return Answer(context, asker.call, JobStateFound{.state = state});
   }
   Reply(context, asker.member,
         JobReply{.call = asker.call, .known = true, .state = state});
@@ -161,9 +161,9 @@
     }
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
       for (const Task& it : occurrence.steps[s].tasks) {
-        const bool may_be_done =
+        const bool may_be_applied =
             it.phase == TaskPhase::kDone || it.phase == TaskPhase::kRunning;
-        if (!may_be_done || job.spec.steps[s].lasting) {
+        if (!may_be_applied || job.spec.steps[s].lasting) {
           return false;
         }
       }
@@ -176,7 +176,7 @@
   if (!MayHaveEnded(job)) {
     return TellState(context, asker, job);
   }
-  asker.until = context.now + kStateNews;
+  asker.until = context.now + kStateUpdateWait;
   job.watchers.push_back(std::move(asker));
 }
 
@@ -195,13 +195,13 @@
 
 void Ask(Context& context,
          std::uint64_t id,
-         WaitingCaller& caller,
+         PendingCallerQuery& caller,
          const std::string& owner) {
-  caller.asked = owner;
-  caller.asked_at = context.now;
+  caller.queried_member = owner;
+  caller.queried_at = context.now;
   Send(context, owner,
        JobQuery{.call = id,
-                .question = caller.question == CallerQuestion::kCancel
+                .question = caller.query == CallerQuery::kCancel
                                 ? JobQuestion::kCancel
                                 : JobQuestion::kState,
                 .job = caller.job});
@@ -212,30 +212,30 @@
 // otherwise have no answer for its callers for as long as that lasts.
 void AskAllWithoutStore(Context& context,
                         std::uint64_t id,
-                        WaitingCaller& caller) {
+                        PendingCallerQuery& caller) {
   if (context.state.store.healthy ||
-      !HasPassed(context.now, caller.asked_at, kPeerAnswer)) {
+      !HasPassed(context.now, caller.queried_at, kPeerReplyTimeout)) {
     return;
   }
   for (const std::string& it : OtherMembers(context)) {
     Ask(context, id, caller, it);
   }
-  caller.asked.clear();
+  caller.queried_member.clear();
 }
 
 void TellOutcome(Context& context,
-                 const WaitingCaller& caller,
+                 const PendingCallerQuery& caller,
                  JobState state) {
-  if (caller.question == CallerQuestion::kCancel) {
-    Answer(context, caller.call, CancelTaken{.state = state});
+  if (caller.query == CallerQuery::kCancel) {
+    Answer(context, caller.call, CancelAccepted{.state = state});
   } else {
-    Answer(context, caller.call, JobShown{.state = state});
+    Answer(context, caller.call, JobStateFound{.state = state});
   }
 }
 
 // True when the caller was answered.
 bool AnswerFromRecord(Context& context,
-                      WaitingCaller& caller,
+                      PendingCallerQuery& caller,
                       const CatalogEntry& entry) {
   if (entry.absent) {
     Answer(context, caller.call, NoSuchJob{});
@@ -249,9 +249,9 @@
 }
 
 // True when the caller was answered.
-bool Advance(Context& context, std::uint64_t id, WaitingCaller& caller) {
+bool Advance(Context& context, std::uint64_t id, PendingCallerQuery& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
-    if (caller.question == CallerQuestion::kState) {
+    if (caller.query == CallerQuery::kState) {
       OnStateAsked(context, *job, Asker{.call = caller.call});
     } else {
       BeginCancel(context, *job, Asker{.call = caller.call});
@@ -278,20 +278,21 @@
   if (FindMember(context.state, owner) == nullptr) {
     // Not by a record from before the question: the job may have a new owner.
     const bool read_since = caller.read_from != Time::min();
-    if (context.state.stop.asked && read_since &&
-        caller.question == CallerQuestion::kState) {
-      Answer(context, caller.call, JobShown{.state = entry.record->state});
+    if (context.state.stop.requested && read_since &&
+        caller.query == CallerQuery::kState) {
+      Answer(context, caller.call, JobStateFound{.state = entry.record->state});
       return true;
     }
     caller.read_from = context.now;  // until somebody has adopted it
     return false;
   }
-  const bool silent = caller.asked == owner &&
-                      HasPassed(context.now, caller.asked_at, kPeerAnswer);
+  const bool silent =
+      caller.queried_member == owner &&
+      HasPassed(context.now, caller.queried_at, kPeerReplyTimeout);
   if (silent) {
     WantRecord(context, caller.job);
   }
-  if (silent || caller.asked != owner) {
+  if (silent || caller.queried_member != owner) {
     Ask(context, id, caller, owner);
   }
   return false;
@@ -299,14 +300,14 @@
 
 void OnQuestion(Context& context,
                 std::uint64_t call,
-                CallerQuestion question,
+                CallerQuery question,
                 const std::string& job) {
-  const std::uint64_t id = ++context.state.last_question;
-  WaitingCaller caller{.call = call,
-                       .question = question,
-                       .job = job,
-                       .since = context.now,
-                       .give_up = QuestionDeadline(context)};
+  const std::uint64_t id = ++context.state.last_query;
+  PendingCallerQuery caller{.call = call,
+                            .query = question,
+                            .job = job,
+                            .since = context.now,
+                            .deadline = QuestionDeadline(context)};
   // A job that its owner was known for is asked about there at once.
   const auto entry = context.state.catalog.find(job);
   const bool cached =
@@ -317,17 +318,18 @@
   }
 }
 
-void GiveUp(Context& context, const WaitingCaller& caller) {
+void GiveUp(Context& context, const PendingCallerQuery& caller) {
   const CatalogEntry& entry = context.state.catalog[caller.job];
   const bool read_since = entry.record && entry.known_from >= caller.since;
-  if (caller.question == CallerQuestion::kState && read_since) {
+  if (caller.query == CallerQuery::kState && read_since) {
     // The owner can't be reached; what it stored last is true.
-    Answer(context, caller.call, JobShown{.state = entry.record->state});
+    Answer(context, caller.call, JobStateFound{.state = entry.record->state});
     return;
   }
   context.Log(EventNumber::kQuestionUnanswered, {{"job", caller.job}});
   Answer(context, caller.call,
-         NotKnown{.detail = "the job's owner or the store can't be reached"});
+         OutcomeUnknown{.detail =
+                            "the job's owner or the store can't be reached"});
 }
 
 void OnWaiting(Context& context, std::uint64_t call, const QueuePolicy& queue) {
@@ -336,7 +338,7 @@
     const auto it = queues.find(queue.name);
     jobs += it == queues.end() ? 0 : it->second;
   }
-  Answer(context, call, WaitingShown{.jobs = jobs});
+  Answer(context, call, WaitingCount{.jobs = jobs});
 }
 
 // The cancel goes on; a member that asked for its caller gives up by itself.
@@ -345,8 +347,9 @@
     const bool due = context.now >= it.until;
     if (due && it.member.empty()) {
       context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
-      Answer(context, it.call,
-             NotKnown{.detail = "the store has not taken the cancel yet"});
+      Answer(
+          context, it.call,
+          OutcomeUnknown{.detail = "the store has not taken the cancel yet"});
     }
     return due;
   });
@@ -355,15 +358,15 @@
 void GiveUpSubmitters(Context& context, Job& job) {
   for (const std::uint64_t it : std::exchange(job.submitters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
-    Answer(context, it, NotKnown{.detail = "the store has not answered"});
+    Answer(context, it, OutcomeUnknown{.detail = "the store has not answered"});
   }
 }
 
 // Submissions that the store has not answered.
 void DriveSubmitters(Context& context) {
   const bool well = context.state.store.healthy && IsRegistered(context.state);
-  const bool stop_is_due =
-      context.state.stop.asked && context.now >= StopDeadline(context.state);
+  const bool stop_is_due = context.state.stop.requested &&
+                           context.now >= StopDeadline(context.state);
   std::vector<std::string> withdrawn;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
@@ -373,12 +376,12 @@
     if (!well && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
       for (const std::uint64_t it : job.submitters) {
         Refuse(context, it, id,
-               context.state.stop.asked ? RefusalCause::kStopping
-                                        : RefusalCause::kStoreAway);
+               context.state.stop.requested ? RefusalCause::kStopping
+                                            : RefusalCause::kStoreUnavailable);
       }
       withdrawn.push_back(id);
     } else if (stop_is_due ||
-               HasPassed(context.now, job.created, kSubmitPatience)) {
+               HasPassed(context.now, job.created, kSubmitTimeout)) {
       GiveUpSubmitters(context, job);
     }
   }
@@ -414,14 +417,14 @@
 
 // A job that is named by its id alone needs none.
 bool NeedsQueue(const CallerRequest& request) {
-  const bool asks = request.question == CallerQuestion::kState ||
-                    request.question == CallerQuestion::kCancel;
+  const bool asks = request.query == CallerQuery::kState ||
+                    request.query == CallerQuery::kCancel;
   return !asks || request.job.empty();
 }
 
 }  // namespace
 
-void OnCallerAsked(Context& context, const CallerAsked& asked) {
+void OnCallerAsked(Context& context, const CallerRequestReceived& asked) {
   const CallerRequest& request = asked.request;
   if (context.state.configuration.version == 0) {
     return Refuse(context, asked.call, request.path + request.job,
@@ -431,7 +434,7 @@
   if (target.queue == nullptr && NeedsQueue(request)) {
     return Answer(context, asked.call, NoSuchQueue{});
   }
-  if (request.question == CallerQuestion::kWaiting) {
+  if (request.query == CallerQuery::kWaiting) {
     return OnWaiting(context, asked.call, *target.queue);
   }
   if (!IsJobId(target.job)) {
@@ -442,11 +445,11 @@
                       .problem = fmt::format("'{}' is no job's id", target.job),
                       .allowed = "1 to 64 letters, digits, - and _"}});
   }
-  if (request.question == CallerQuestion::kSubmit) {
+  if (request.query == CallerQuery::kSubmit) {
     return OnSubmit(context, asked.call, target.job, *target.queue,
                     request.spec);
   }
-  OnQuestion(context, asked.call, request.question, target.job);
+  OnQuestion(context, asked.call, request.query, target.job);
 }
 
 void OnJobQuery(Context& context,
@@ -469,9 +472,9 @@
     return;
   }
   if (!reply.known) {
-    if (!it->second.asked.empty()) {  // it was taken for the owner
+    if (!it->second.queried_member.empty()) {  // it was taken for the owner
       it->second.read_from = context.now;
-      it->second.asked.clear();
+      it->second.queried_member.clear();
     }
     return;
   }
@@ -499,7 +502,7 @@
   for (auto& [id, caller] : context.state.callers) {
     if (Advance(context, id, caller)) {
       answered.push_back(id);
-    } else if (context.now >= caller.give_up) {
+    } else if (context.now >= caller.deadline) {
       GiveUp(context, caller);
       answered.push_back(id);
     }
@@ -517,7 +520,7 @@
 
 void AnswerCancel(Context& context, const Asker& canceller, JobState state) {
   if (canceller.member.empty()) {
-    return Answer(context, canceller.call, CancelTaken{.state = state});
+    return Answer(context, canceller.call, CancelAccepted{.state = state});
   }
   Reply(context, canceller.member,
         JobReply{.call = canceller.call, .known = true, .state = state});
@@ -538,7 +541,7 @@
                      const std::vector<Asker>& cancellers) {
   for (const Asker& it : cancellers) {
     if (it.member.empty()) {
-      OnQuestion(context, it.call, CallerQuestion::kCancel, job);
+      OnQuestion(context, it.call, CallerQuery::kCancel, job);
     } else {
       Reply(context, it.member, JobReply{.call = it.call});
     }
--- a/Source/engine/jobs/questions.h
+++ b/Source/engine/jobs/questions.h
@@ -12,7 +12,7 @@
 
 namespace burdockrock::engine {
 
-void OnCallerAsked(Context& context, const CallerAsked& asked);
+void OnCallerAsked(Context& context, const CallerRequestReceived& asked);
 void OnJobQuery(Context& context,
                 const std::string& from,
                 const JobQuery& query);
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
+#include "engine/condition_log.h"
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/job_table.h"
 #include "engine/members/membership.h"
-#include "engine/notices.h"
 #include "engine/records/record_writer.h"
 #include "engine/records/watches.h"
 #include "engine/workers/worker_list.h"
@@ -35,7 +35,7 @@
 // Everything that can run the job was heard of.
 void FinishRecovery(Context& context, Job& job) {
   job.recovering = false;
-  NoteRecovered(context, job);
+  LogRecovered(context, job);
   ForEachTask(job, [&](const TaskName&, Task& task) {
     if (task.phase == TaskPhase::kUnknown) {
       task.phase = TaskPhase::kWaiting;
@@ -49,7 +49,7 @@
 // Reports count from the last registration on: before it this instance may have
 // missed workers that came and left.
 UnseenWorkers& UnseenNow(Context& context) {
-  UnseenWorkers& unseen = context.state.unseen;
+  UnseenWorkers& unseen = context.state.unseen_workers;
   const Time registered_at = context.state.members.registered_at;
   if (unseen.registered_at != registered_at) {
     unseen = UnseenWorkers{.registered_at = registered_at};
@@ -59,9 +59,9 @@
 
 // Workers that this instance never saw may run tasks.
 bool MayMissWorkers(Context& context) {
-  return !UnseenNow(context).all_told &&
+  return !UnseenNow(context).all_reported &&
          !HasPassed(context.now, context.state.members.registered_at,
-                    kUnlistedKept);
+                    kUnlistedWorkerKeptFor);
 }
 
 // No worker is missed that may run an adopted job's tasks. The list alone is
@@ -78,7 +78,7 @@
   return HasPassed(context.now, context.state.members.registered_at,
                    kListSettled) &&
          std::all_of(others.begin(), others.end(), [&](const std::string& it) {
-           return UnseenNow(context).told_by.contains(it);
+           return UnseenNow(context).reported_by.contains(it);
          });
 }
 
@@ -120,9 +120,10 @@
                                Round& round) {
   std::set<std::string> members = job.unheard;
   if (round.unseen) {
-    const std::set<std::string>& told_by = context.state.unseen.told_by;
+    const std::set<std::string>& reported_by =
+        context.state.unseen_workers.reported_by;
     for (const std::string& it : OtherMembers(context)) {
-      if (!told_by.contains(it)) {
+      if (!reported_by.contains(it)) {
         members.insert(it);
       }
     }
@@ -145,7 +146,7 @@
 
 void AskAbout(Context& context, Job& job, Round& round) {
   if (job.version == job.stored_version &&
-      HasPassed(context.now, job.confirmed_at, kOwnershipDoubt)) {
+      HasPassed(context.now, job.confirmed_at, kOwnershipVerifyDelay)) {
     // Nobody answers a former owner's questions.
     job.confirmed_at = context.now;
     MarkChanged(context, job, true);
@@ -191,7 +192,8 @@
   const std::vector<Forgettable> remembered =
       Remembered(context, round.uncovered);
   for (auto& [member, query] : round.queries) {
-    Time& told = recovery.told.try_emplace(member, Time::min()).first->second;
+    Time& told =
+        recovery.announced_at.try_emplace(member, Time::min()).first->second;
     const bool tell_all = HasPassed(context.now, told, kTellAgain);
     for (const Forgettable& it : remembered) {
       if (tell_all || (round.all && it.owner == member)) {
@@ -200,7 +202,8 @@
     }
     told = tell_all ? context.now : told;
     query.wants_workers =
-        round.unseen && !context.state.unseen.told_by.contains(member);
+        round.unseen &&
+        !context.state.unseen_workers.reported_by.contains(member);
     Send(context, member, std::move(query));
   }
 }
@@ -237,8 +240,9 @@
 void DriveRecovery(Context& context) {
   RecoveryState& recovery = context.state.recovery;
   std::optional<bool> knows_workers;  // looked up once, if any job needs it
-  const bool ask = HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
-  Round round{.all = HasPassed(context.now, recovery.asked_all_at, kAskAll),
+  const bool ask =
+      HasPassed(context.now, recovery.queried_at, kAdoptQueryInterval);
+  Round round{.all = HasPassed(context.now, recovery.queried_all_at, kAskAll),
               .unseen = MayMissWorkers(context)};
   bool recovering = false;
   for (const std::string& id : context.state.active) {
@@ -268,8 +272,8 @@
     return;
   }
   if (ask) {
-    recovery.asked_at = context.now;
-    recovery.asked_all_at = round.all ? context.now : recovery.asked_all_at;
+    recovery.queried_at = context.now;
+    recovery.queried_all_at = round.all ? context.now : recovery.queried_all_at;
   }
   SendRound(context, round);
 }
@@ -281,8 +285,8 @@
   OnWorkersRemembered(context, report.remembered);
   // Each question since the registration asked for them, if need was.
   UnseenWorkers& unseen = UnseenNow(context);
-  unseen.told_by.insert(from);
-  unseen.all_told = unseen.all_told || report.all_remembered;
+  unseen.reported_by.insert(from);
+  unseen.all_reported = unseen.all_reported || report.all_remembered;
   for (const RunReport& it : report.runs) {
     OnRunReport(context, it);
   }
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -83,7 +83,7 @@
   }
   OwnedWorker* worker = FindClaimed(context.state, query.worker);
   if (worker == nullptr) {
-    if (context.state.gone.contains(query.worker)) {
+    if (context.state.lost_workers.contains(query.worker)) {
       SayAbsent(context, to, query);
     }
     return;
@@ -186,7 +186,7 @@
     }
     AddEndsOfJobs(id, worker, jobs, report.ends);
   }
-  for (const auto& [id, it] : context.state.gone) {
+  for (const auto& [id, it] : context.state.lost_workers) {
     report.covered.push_back({.worker = id, .fence = it.fence, .gone = true});
   }
   if (query.wants_workers) {
--- a/Source/engine/jobs/task_copies.cc
+++ b/Source/engine/jobs/task_copies.cc
@@ -110,16 +110,17 @@
     return;
   }
   if (task.copy->stopping) {
-    if (HasPassed(context.now, task.copy->stop_sent, kOfferRepeat)) {
+    if (HasPassed(context.now, task.copy->stop_sent, kOfferRetryDelay)) {
       StopCopy(context, job, name, task);
     }
     return;
   }
-  const Duration patience = task.copy->running ? kRunCheck : kOfferRepeat;
+  const Duration patience =
+      task.copy->running ? kRunQueryDelay : kOfferRetryDelay;
   if (!HasPassed(context.now, task.copy->heard, patience)) {
     return;
   }
-  task.copy->heard = context.now - patience + kOfferRepeat;
+  task.copy->heard = context.now - patience + kOfferRetryDelay;
   const std::string owner = OwnerOfWorker(context, task.copy->worker);
   if (!owner.empty()) {
     queries[owner].runs.push_back({.task = ToString(name),
--- a/Source/engine/limits.h
+++ b/Source/engine/limits.h
@@ -22,29 +22,29 @@
 // Lets an instance that lost only its registration keep its work.
 inline constexpr Duration kRejoinGrace = milliseconds(2000);
 // Time after a failed call in which the store counts as unsteady.
-inline constexpr Duration kStoreUnsteady = milliseconds(3000);
+inline constexpr Duration kStoreUnsteadyPeriod = milliseconds(3000);
 // How long an owner renews the leases of its workers without the store. Running
 // work survives an outage, and the time by which all runs at an unreachable
 // owner have ended is known.
-inline constexpr Duration kMaxWithoutStore = milliseconds(12'000);
+inline constexpr Duration kMaxRenewalWithoutStore = milliseconds(12'000);
 // Lets instances that start together register before any of them claims
 // workers.
 inline constexpr Duration kClaimDelay = milliseconds(200);
 // Interval of the check of all owned workers. Bounds how long a worker stays
 // with an owner chosen from an outdated list of members.
-inline constexpr Duration kOwnershipReview = milliseconds(500);
+inline constexpr Duration kOwnershipCheckInterval = milliseconds(500);
 // Minimum time between two advances of the own fence.
-inline constexpr Duration kRaiseInterval = milliseconds(300);
+inline constexpr Duration kFenceAdvanceInterval = milliseconds(300);
 
 // Store.
 
 // Above the response time of a slow store.
 inline constexpr Duration kStoreTimeout = milliseconds(700);
 // An instance without a reply of the store for this long is not ready.
-inline constexpr Duration kStoreAway = milliseconds(600);
+inline constexpr Duration kStoreUnavailableAfter = milliseconds(600);
 // Delay after a failed call. Keeps all instances together below the store's
 // rate limits when it is unavailable.
-inline constexpr Duration kStoreRetry = milliseconds(150);
+inline constexpr Duration kStoreRetryDelay = milliseconds(150);
 // Longest wait of a long poll for changes. Bounds how long a dead connection
 // hides a new configuration, which has to be in force in time.
 inline constexpr Duration kWatchWait = milliseconds(1200);
@@ -53,7 +53,7 @@
 // Minimum time between two replies to the watch of workers, whose entries
 // change with each heartbeat. Below the time for which a leaving worker may
 // still get new work.
-inline constexpr Duration kWorkersPause = milliseconds(600);
+inline constexpr Duration kWorkerWatchInterval = milliseconds(600);
 // Entries in one transaction; a limit of the platform's interface.
 inline constexpr std::size_t kMaxTransactionEntries = 32;
 // More than one hides the store's latency; each more makes the batches smaller.
@@ -65,7 +65,7 @@
 inline constexpr double kWriteBurst = 4;
 // A submission that the store has not confirmed is answered after this long, so
 // that its caller still has time to try another instance.
-inline constexpr Duration kSubmitPatience = milliseconds(1200);
+inline constexpr Duration kSubmitTimeout = milliseconds(1200);
 // Ends are confirmed to their workers in batches, at this interval.
 inline constexpr Duration kProgressInterval = milliseconds(700);
 // Concurrent reads of other owners' jobs; many are read in a takeover.
@@ -74,44 +74,44 @@
 // Workers.
 
 // Wait of a poll. Below the longest that a worker accepts.
-inline constexpr Duration kHoldWait = milliseconds(1900);
+inline constexpr Duration kPollWait = milliseconds(1900);
 // A poll times out this long after the wait that it requested.
-inline constexpr Duration kHoldSlack = milliseconds(700);
+inline constexpr Duration kPollSlack = milliseconds(700);
 // Wait of a poll while calls to workers get lost: an end whose listing was lost
 // is learned again within the slack of a short job.
-inline constexpr Duration kLossyHoldWait = milliseconds(300);
-inline constexpr Duration kLeastHoldSlack = milliseconds(150);
+inline constexpr Duration kLossyPollWait = milliseconds(300);
+inline constexpr Duration kMinPollSlack = milliseconds(150);
 // Time after a call without a reply in which the shorter wait is used.
-inline constexpr Duration kLossyFor = milliseconds(10'000);
+inline constexpr Duration kLossyPeriod = milliseconds(10'000);
 // Pause between two polls. Ends within it share a listing.
-inline constexpr Duration kHoldPause = milliseconds(100);
-inline constexpr Duration kHoldRetry = milliseconds(150);
+inline constexpr Duration kPollInterval = milliseconds(100);
+inline constexpr Duration kPollRetryDelay = milliseconds(150);
 // A worker that has not replied for this long gets no further lease, so that
 // the time by which all its runs have ended is known.
-inline constexpr Duration kRenewWithoutAnswer = milliseconds(1500);
+inline constexpr Duration kMaxRenewalWithoutAnswer = milliseconds(1500);
 // Range of the timeout of commands, which follows the response times of the
 // workers. Commands without a reply are repeated, as they are idempotent.
-inline constexpr Duration kLeastOrderTimeout = milliseconds(80);
-inline constexpr Duration kOrderTimeout = milliseconds(500);
+inline constexpr Duration kMinCommandTimeout = milliseconds(80);
+inline constexpr Duration kMaxCommandTimeout = milliseconds(500);
 // Delay between two attempts of a command.
-inline constexpr Duration kOrderRetry = milliseconds(100);
+inline constexpr Duration kCommandRetryDelay = milliseconds(100);
 // A start without a reply for this long is withdrawn.
-inline constexpr Duration kStartPatience = milliseconds(1200);
+inline constexpr Duration kStartTimeout = milliseconds(1200);
 // Room that is booked for a gang is released after this long without a start.
-inline constexpr Duration kBookingTime = milliseconds(2000);
+inline constexpr Duration kBookingTimeout = milliseconds(2000);
 // A worker that reported itself unhealthy gets no new tasks for this long.
 inline constexpr Duration kUnhealthyPause = milliseconds(1000);
 // Factor for the worker's clock, which may be 2% slow.
 inline constexpr double kClockDrift = 1.02;
 inline constexpr Duration kLeaseMargin = milliseconds(300);
 // Interval at which unconfirmed ends are reported to the job's owner again.
-inline constexpr Duration kEndRepeat = milliseconds(600);
+inline constexpr Duration kEndReportInterval = milliseconds(600);
 // A lost worker is announced to the peers for this long.
-inline constexpr Duration kGoneTold = milliseconds(20'000);
+inline constexpr Duration kLostWorkerAnnouncedFor = milliseconds(20'000);
 
 // A worker that left the list is kept for this long: more than the longest time
 // for which a run may continue there.
-inline constexpr Duration kUnlistedKept = milliseconds(25'000);
+inline constexpr Duration kUnlistedWorkerKeptFor = milliseconds(25'000);
 // Runs on a draining worker are moved this long before it can leave.
 inline constexpr Duration kLeaveMargin = milliseconds(900);
 // Consecutive failures, of different jobs, after which a worker is quarantined.
@@ -122,31 +122,31 @@
 
 // Jobs.
 
-// An offer without a reply is followed by a query after this long.
-inline constexpr Duration kOfferRepeat = milliseconds(500);
+// An offer without a reply is queried, and a stop repeated, after this long.
+inline constexpr Duration kOfferRetryDelay = milliseconds(500);
 // Runs without an update for this long are queried.
-inline constexpr Duration kRunCheck = milliseconds(3000);
+inline constexpr Duration kRunQueryDelay = milliseconds(3000);
 // Minimum delay before a refused task is placed again if the view of the worker
 // does not show the reason of the refusal; else there is none.
-inline constexpr Duration kRefusedPause = milliseconds(20);
+inline constexpr Duration kRefusedTaskDelay = milliseconds(20);
 // Delay before a failed task is placed again. A worker at which all tasks fail
 // is known by then and does not get it again.
-inline constexpr Duration kFailedPause = milliseconds(50);
+inline constexpr Duration kFailedTaskDelay = milliseconds(50);
 // Interval at which members are queried for the runs of an adopted job.
-inline constexpr Duration kAdoptRepeat = milliseconds(120);
+inline constexpr Duration kAdoptQueryInterval = milliseconds(120);
 // An adopted job whose runs are not all known after this long is written again:
 // the write fails if the job has another owner by now.
-inline constexpr Duration kOwnershipDoubt = milliseconds(3000);
+inline constexpr Duration kOwnershipVerifyDelay = milliseconds(3000);
 // A member that has not replied to a query by then is queried again.
-inline constexpr Duration kPeerAnswer = milliseconds(400);
+inline constexpr Duration kPeerReplyTimeout = milliseconds(400);
 // A caller's query times out after this long, before the caller itself does.
-inline constexpr Duration kQuestionPatience = milliseconds(1500);
+inline constexpr Duration kCallerQueryTimeout = milliseconds(1500);
 // Longest delay of the reply to a state query while an update is expected: the
 // job may just have ended.
-inline constexpr Duration kStateNews = milliseconds(130);
+inline constexpr Duration kStateUpdateWait = milliseconds(130);
 // Interval of scans for jobs whose owner is lost, in case the loss of a member
 // was missed.
-inline constexpr Duration kOrphanScan = milliseconds(5000);
+inline constexpr Duration kOrphanScanInterval = milliseconds(5000);
 
 // Digests and housekeeping.
 
@@ -160,15 +160,15 @@
 inline constexpr std::int64_t kFewMembers = 6;
 // An unchanged state is sent again to reveal a lost digest: once this long
 // after the last change, and then at the longer interval.
-inline constexpr Duration kDigestRepeat = milliseconds(1000);
-inline constexpr Duration kDigestReminder = milliseconds(5000);
+inline constexpr Duration kDigestRepeatDelay = milliseconds(1000);
+inline constexpr Duration kDigestKeepalive = milliseconds(5000);
 // A member whose digest was missed is asked again for a full one after this
 // long.
-inline constexpr Duration kDigestAsk = milliseconds(400);
+inline constexpr Duration kFullDigestRetryDelay = milliseconds(400);
 // Resolution of the engine's timers.
 inline constexpr Duration kTick = milliseconds(25);
 // Interval of the removal of expired entries.
-inline constexpr Duration kForgetInterval = milliseconds(1000);
+inline constexpr Duration kExpiryInterval = milliseconds(1000);
 // Minimum time between two runs of the work that is due. Under load, one run
 // serves several events.
 inline constexpr Duration kDriveInterval = milliseconds(3);
@@ -180,12 +180,13 @@
 // A ticket is not used this close to its expiry, as the start command takes
 // time.
 inline constexpr Duration kTicketMargin = milliseconds(350);
-inline constexpr Duration kAdviceRetry = milliseconds(200);
+inline constexpr Duration kAdviceRetryDelay = milliseconds(200);
 // The highest priority.
 inline constexpr std::uint32_t kMostUrgent = 0;
 // Workers in one call; a limit of the service's interface.
-inline constexpr std::size_t kMaxAdvised = 100;
-// Above the duration of the longest call, which names kMaxAdvised workers.
+inline constexpr std::size_t kMaxAdvisedWorkers = 100;
+// Above the duration of the longest call, which names kMaxAdvisedWorkers
+// workers.
 inline constexpr Duration kAdviceTimeout = milliseconds(4000);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -38,7 +38,7 @@
   for (const auto& [id, worker] : state.owned) {
     all.insert(id);
   }
-  for (const auto& [id, gone] : state.gone) {
+  for (const auto& [id, gone] : state.lost_workers) {
     all.insert(id);
   }
   return all;
@@ -57,18 +57,18 @@
                 std::map<std::string, std::uint32_t> waiting,
                 RoomDigest& digest) {
   for (const auto& [queue, jobs] : waiting) {
-    const auto told = state.told_waiting.find(queue);
+    const auto told = state.sent_waiting.find(queue);
     const std::uint32_t before =
-        told == state.told_waiting.end() ? 0 : told->second;
+        told == state.sent_waiting.end() ? 0 : told->second;
     if (jobs != before) {
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
     }
   }
-  state.told_waiting = std::move(waiting);
+  state.sent_waiting = std::move(waiting);
 }
 
-DigestState::ToldWorker ToldOf(const WorkerRoom& room) {
-  return {.fence = room.fence, .accepting = room.accepting, .gone = room.gone};
+DigestState::SentWorker ToldOf(const WorkerRoom& room) {
+  return {.fence = room.fence, .accepting = room.accepting, .lost = room.gone};
 }
 
 // A changed owner of a worker, or whether it takes tasks: until others know
@@ -76,14 +76,14 @@
 // sent.
 bool HasUrgent(Context& context) {
   DigestState& state = context.state.digest;
-  if (!HasPassed(context.now, state.looked_at, kDigestInterval)) {
+  if (!HasPassed(context.now, state.urgent_checked_at, kDigestInterval)) {
     return false;
   }
-  state.looked_at = context.now;
+  state.urgent_checked_at = context.now;
   return std::any_of(state.changed.begin(), state.changed.end(),
                      [&](const std::string& it) {
                        const auto room = RoomOfWorker(context, it);
-                       return room && state.told[it] != ToldOf(*room);
+                       return room && state.sent_workers[it] != ToldOf(*room);
                      });
 }
 
@@ -97,7 +97,7 @@
 bool RemindIsDue(const Context& context) {
   const DigestState& state = context.state.digest;
   return HasPassed(context.now, state.sent_at,
-                   state.settled ? kDigestReminder : kDigestRepeat);
+                   state.settled ? kDigestKeepalive : kDigestRepeatDelay);
 }
 
 bool ChangeIsDue(Context& context) {
@@ -112,7 +112,7 @@
 
 void TellAskers(Context& context) {
   DigestState& state = context.state.digest;
-  if (state.askers.empty()) {
+  if (state.full_digest_requests.empty()) {
     return;
   }
   RoomDigest digest{
@@ -126,19 +126,19 @@
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
     }
   }
-  for (const std::string& it : std::exchange(state.askers, {})) {
+  for (const std::string& it : std::exchange(state.full_digest_requests, {})) {
     Send(context, it, digest);
   }
 }
 
 void AskForMissed(Context& context) {
-  for (auto& [member, asked] : context.state.digest.missed) {
-    if (HasPassed(context.now, asked, kDigestAsk)) {
+  for (auto& [member, asked] : context.state.digest.full_requested_at) {
+    if (HasPassed(context.now, asked, kFullDigestRetryDelay)) {
       asked = context.now;
       Send(context, member, DigestAsk());
     }
   }
-  std::erase_if(context.state.digest.missed, [&](const auto& it) {
+  std::erase_if(context.state.digest.full_requested_at, [&](const auto& it) {
     return FindMember(context.state, it.first) == nullptr;
   });
 }
@@ -148,17 +148,17 @@
                   const std::string& from,
                   const RoomDigest& digest) {
   DigestState& state = context.state.digest;
-  std::uint64_t& heard = state.heard[from];
+  std::uint64_t& heard = state.received_up_to[from];
   // A digest without changes repeats the number of the last one that had some:
   // taken for that one, it would hide that a single digest was missed.
   const bool tells = !digest.workers.empty() || !digest.waiting.empty();
   if (digest.whole) {
     heard = std::max(heard, digest.sequence);
-    state.missed.erase(from);
+    state.full_requested_at.erase(from);
   } else if (tells && digest.sequence == heard + 1) {
     heard = digest.sequence;
   } else if (digest.sequence > heard) {
-    state.missed.try_emplace(from, Time::min());
+    state.full_requested_at.try_emplace(from, Time::min());
   }
 }
 
@@ -177,8 +177,8 @@
     ClampToZero(room.free);
     return room;
   }
-  const auto gone = context.state.gone.find(id);
-  if (gone == context.state.gone.end()) {
+  const auto gone = context.state.lost_workers.find(id);
+  if (gone == context.state.lost_workers.end()) {
     return std::nullopt;
   }
   return WorkerRoom{.worker = id, .fence = gone->second.fence, .gone = true};
@@ -189,20 +189,20 @@
   const bool newer =
       it.fence > view.fence ||
       (it.fence == view.fence && (it.gone || it.version >= view.version));
-  if (!newer || (view.gone && it.fence <= view.fence)) {
+  if (!newer || (view.lost && it.fence <= view.fence)) {
     return;
   }
   // Somebody has claimed it after it was taken for gone.
-  context.state.gone.erase(it.worker);
+  context.state.lost_workers.erase(it.worker);
   view = RoomView{.owner = from,
                   .fence = it.fence,
                   .version = it.version,
                   .free = it.free,
                   .yielding = it.yielding,
                   .accepting = it.accepting,
-                  .gone = it.gone,
+                  .lost = it.gone,
                   .slowness = it.slowness,
-                  .heard = context.now};
+                  .updated_at = context.now};
   const auto owned = context.state.owned.find(it.worker);
   if (owned != context.state.owned.end() && owned->second.claimed &&
       owned->second.fence < it.fence) {
@@ -231,7 +231,7 @@
     AddWaiting(state, CountAllWaiting(context.state), digest);
   }
   for (const WorkerRoom& it : digest.workers) {
-    state.told[it.worker] = ToldOf(it);
+    state.sent_workers[it.worker] = ToldOf(it);
   }
   const bool tells = !digest.workers.empty() || !digest.waiting.empty();
   state.sequence += tells ? 1 : 0;
@@ -261,14 +261,15 @@
 }
 
 void OnDigestAsk(Context& context, const std::string& from) {
-  context.state.digest.askers.insert(from);
+  context.state.digest.full_digest_requests.insert(from);
 }
 
 void DoubtRoom(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view != context.state.view.end() &&
       view->second.owner != context.self()) {
-    context.state.digest.missed.try_emplace(view->second.owner, Time::min());
+    context.state.digest.full_requested_at.try_emplace(view->second.owner,
+                                                       Time::min());
   }
 }
 
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -52,7 +52,7 @@
     AddChoosable(members, it);
   }
   for (const auto& [incarnation, it] : members.departed) {
-    if (it.gone_at != Time::min()) {
+    if (it.lost_at != Time::min()) {
       AddChoosable(members, it.member);
     }
   }
@@ -117,9 +117,9 @@
 
 void Raise(Context& context) {
   MembersState& members = context.state.members;
-  members.raising = true;
-  members.raise_wanted = false;
-  members.raised_at = context.now;
+  members.advancing_fence = true;
+  members.fence_advance_due = false;
+  members.fence_advanced_at = context.now;
   const std::string key = MemberKey(context.self());
   AskStore(context,
            StoreTransaction{
@@ -127,7 +127,7 @@
                .puts = {{.key = key,
                          .value = EncodeMember(context.state.options.self),
                          .lease = members.lease}}},
-           ForRaise{});
+           ForFenceAdvance{});
 }
 
 // The machine runs one process: an earlier one is gone for certain.
@@ -137,9 +137,9 @@
     if (it.member.record.node != node) {
       continue;
     }
-    it.replaced_at = std::min(it.replaced_at, context.now);
-    if (it.gone_at != Time::min()) {
-      it.gone_at = context.now;
+    it.stopped_renewing_at = std::min(it.stopped_renewing_at, context.now);
+    if (it.lost_at != Time::min()) {
+      it.lost_at = context.now;
     }
   }
 }
@@ -186,8 +186,8 @@
   auto& departed = context.state.members.departed;
   std::vector<std::string> gone;
   for (auto& [incarnation, it] : departed) {
-    if (it.gone_at <= context.now && it.gone_at != Time::min()) {
-      it.gone_at = Time::min();
+    if (it.lost_at <= context.now && it.lost_at != Time::min()) {
+      it.lost_at = Time::min();
       gone.push_back(incarnation);
     }
   }
@@ -209,8 +209,9 @@
   }
   MembersState& members = context.state.members;
   const bool may_raise =
-      members.raise_wanted && members.fence != 0 && !members.raising &&
-      HasPassed(context.now, members.raised_at, kRaiseInterval);
+      members.fence_advance_due && members.fence != 0 &&
+      !members.advancing_fence &&
+      HasPassed(context.now, members.fence_advanced_at, kFenceAdvanceInterval);
   if (may_raise && !context.state.stop.released) {
     Raise(context);
   }
@@ -242,7 +243,7 @@
   }
   context.Log(EventNumber::kPeerUp,
               {{"peer", incarnation}, {"domain", member.record.domain}});
-  context.state.digest.askers.insert(incarnation);
+  context.state.digest.full_digest_requests.insert(incarnation);
   EndEarlierProcesses(context, member.record.node);
   ReviewOwnership(context);
 }
@@ -263,17 +264,19 @@
       });
   // A member that has announced its end will not rejoin: its jobs get a new
   // owner at once.
-  const bool may_rejoin = !replaced && node.mapped().parted_at == kForever;
+  const bool may_rejoin =
+      !replaced && node.mapped().stopped_renewing_at == kForever;
   const Duration grace =
       may_rejoin && StoreIsUnsteady(context) ? kRejoinGrace : Duration(0);
   context.state.digest.waiting.erase(node.key());
-  context.state.digest.heard.erase(node.key());
+  context.state.digest.received_up_to.erase(node.key());
   ForgetCaller(context, node.key());
   members.departed[node.key()] = DepartedMember{
       .member = node.mapped(),
-      .gone_at = context.now + grace,
-      .left_at = context.now,
-      .replaced_at = replaced ? context.now : node.mapped().parted_at};
+      .lost_at = context.now + grace,
+      .unlisted_at = context.now,
+      .stopped_renewing_at =
+          replaced ? context.now : node.mapped().stopped_renewing_at};
   MembersChanged(members);
 }
 
@@ -285,7 +288,7 @@
     members.renew_at = context.now + kMemberRenewal;
     return;
   }
-  members.renew_at = context.now + kStoreRetry;
+  members.renew_at = context.now + kStoreRetryDelay;
 }
 
 void OnLeaseRenewed(Context& context,
@@ -302,7 +305,7 @@
   } else if (std::holds_alternative<StoreAbsent>(answer)) {
     LoseRegistration(context, "lease ended");
   } else {
-    members.renew_at = context.now + kStoreRetry;
+    members.renew_at = context.now + kStoreRetryDelay;
   }
 }
 
@@ -329,7 +332,7 @@
 
 void OnRaised(Context& context, const StoreAnswer& answer) {
   MembersState& members = context.state.members;
-  members.raising = false;
+  members.advancing_fence = false;
   if (const auto* done = std::get_if<StoreDone>(&answer)) {
     SetFence(context, done->revision);
     return;
@@ -351,21 +354,21 @@
     LoseRegistration(context, "lease ended");
     return;
   }
-  members.raise_wanted = true;
+  members.fence_advance_due = true;
 }
 
 void OnParting(Context& context, const std::string& from) {
   MembersState& members = context.state.members;
   const auto present = members.present.find(from);
   if (present != members.present.end()) {
-    present->second.parted_at = context.now;
+    present->second.stopped_renewing_at = context.now;
   }
   const auto departed = members.departed.find(from);
   if (departed != members.departed.end()) {
-    departed->second.replaced_at =
-        std::min(departed->second.replaced_at, context.now);
-    if (departed->second.gone_at != Time::min()) {
-      departed->second.gone_at = context.now;
+    departed->second.stopped_renewing_at =
+        std::min(departed->second.stopped_renewing_at, context.now);
+    if (departed->second.lost_at != Time::min()) {
+      departed->second.lost_at = context.now;
     }
   }
 }
@@ -387,7 +390,7 @@
 }
 
 void WantRaise(Context& context) {
-  context.state.members.raise_wanted = true;
+  context.state.members.fence_advance_due = true;
 }
 
 void Deregister(Context& context) {
@@ -437,7 +440,7 @@
   }
   const auto gone = state.members.departed.find(incarnation);
   if (gone != state.members.departed.end() &&
-      gone->second.gone_at != Time::min()) {
+      gone->second.lost_at != Time::min()) {
     return &gone->second.member.record;
   }
   return nullptr;
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -31,13 +31,13 @@
            StoreRange{.prefix = std::string(kNodePrefix),
                       .after = nodes.after,
                       .may_be_stale = forget},
-           ForNodes{.forget = forget});
+           ForNodeRecords{.remove = forget});
 }
 
 void Learn(Context& context, const std::string& node) {
   NodesState& nodes = context.state.members.nodes;
   if (!nodes.listed.contains(node)) {
-    nodes.unseen.emplace(
+    nodes.replaced_at.emplace(
         node, IsPresent(context.state, node) ? context.now : kForever);
   }
 }
@@ -51,7 +51,7 @@
   return std::all_of(
       members.departed.begin(), members.departed.end(), [&](const auto& it) {
         return it.second.member.record.node != node ||
-               HasPassed(context.now, it.second.left_at, kForgetAfter);
+               HasPassed(context.now, it.second.unlisted_at, kForgetAfter);
       });
 }
 
@@ -91,7 +91,7 @@
     return;
   }
   if (!nodes.read) {
-    if (HasPassed(context.now, nodes.read_at, kStoreRetry)) {
+    if (HasPassed(context.now, nodes.read_at, kStoreRetryDelay)) {
       ReadPage(context, false);
     }
   } else if (HasPassed(context.now, nodes.read_at, kForgetAfter)) {
@@ -125,8 +125,8 @@
 
 void OnNodeSeen(Context& context, const std::string& node) {
   NodesState& nodes = context.state.members.nodes;
-  const auto it = nodes.unseen.find(node);
-  if (it != nodes.unseen.end()) {
+  const auto it = nodes.replaced_at.find(node);
+  if (it != nodes.replaced_at.end()) {
     it->second = std::min(it->second, context.now);
   }
 }
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -48,12 +48,12 @@
 
 void BeginStop(Context& context) {
   StopState& stop = context.state.stop;
-  if (stop.asked) {
+  if (stop.requested) {
     return;
   }
-  stop.asked = true;
-  stop.asked_at = context.now;
-  stop.since = context.now;
+  stop.requested = true;
+  stop.requested_at = context.now;
+  stop.stage_since = context.now;
   LogStage(context, EventNumber::kDrainStarted,
            {{"jobs", std::to_string(context.state.active.size())},
             {"workers", std::to_string(context.state.owned.size())}});
@@ -62,26 +62,27 @@
 
 Time StopDeadline(const State& state) {
   const Duration grace = state.options.bounds.grace;
-  return state.stop.asked_at + grace - std::min(kLastAnswers, grace / 2);
+  return state.stop.requested_at + grace - std::min(kLastAnswers, grace / 2);
 }
 
 void DriveStop(Context& context) {
   StopState& stop = context.state.stop;
-  if (!stop.asked || stop.ended) {
+  if (!stop.requested || stop.ended) {
     return;
   }
   const bool overdue = context.now >= StopDeadline(context.state);
-  const bool late = overdue || HasPassed(context.now, stop.since, kFlushTime);
+  const bool late =
+      overdue || HasPassed(context.now, stop.stage_since, kFlushTime);
   if (!stop.released && (IsFlushed(context.state) || late)) {
     LogStage(context, EventNumber::kHandedOver,
              {{"jobs", std::to_string(context.state.active.size())}});
     Deregister(context);
     HandOverAskers(context);
-    stop.since = context.now;
+    stop.stage_since = context.now;
     return;
   }
   if (stop.released &&
-      (overdue || HasPassed(context.now, stop.since, kLinger))) {
+      (overdue || HasPassed(context.now, stop.stage_since, kLinger))) {
     stop.ended = true;
     LogStage(context, EventNumber::kDrainComplete, {});
     context.Emit(EndProcess{});
--- a/Source/engine/members/silence.cc
+++ b/Source/engine/members/silence.cc
@@ -19,36 +19,40 @@
 
 void NoteOffer(Context& context, const std::string& member) {
   if (member != context.self()) {
-    context.state.silence.asked.emplace(member, context.now);
+    context.state.unresponsive_members.awaiting_reply.emplace(member,
+                                                              context.now);
   }
 }
 
 void NoteWord(Context& context, const std::string& member) {
-  SilenceState& silence = context.state.silence;
-  auto offered = silence.asked.extract(member);
+  UnresponsiveMembers& silence = context.state.unresponsive_members;
+  auto offered = silence.awaiting_reply.extract(member);
   if (offered.empty()) {
-    offered = silence.silent.extract(member);
+    offered = silence.unresponsive.extract(member);
     context.state.placement_due |= !offered.empty();
   }
   if (!offered.empty()) {
     const Duration took = context.now - offered.mapped();
-    silence.answers = silence.answers.With(std::min(took, kMostSilence));
+    silence.response_time =
+        silence.response_time.With(std::min(took, kMostSilence));
   }
 }
 
 void DriveSilence(Context& context) {
-  SilenceState& silence = context.state.silence;
-  std::erase_if(silence.silent, [&](const auto& it) {
+  UnresponsiveMembers& silence = context.state.unresponsive_members;
+  std::erase_if(silence.unresponsive, [&](const auto& it) {
     return FindMember(context.state, it.first) == nullptr;
   });
-  const Duration timeout = silence.answers.Timeout(kLeastSilence, kMostSilence);
-  for (auto it = silence.asked.begin(); it != silence.asked.end();) {
+  const Duration timeout =
+      silence.response_time.Timeout(kLeastSilence, kMostSilence);
+  for (auto it = silence.awaiting_reply.begin();
+       it != silence.awaiting_reply.end();) {
     if (!HasPassed(context.now, it->second, timeout)) {
       ++it;
       continue;
     }
     context.Log(EventNumber::kOffersUnanswered, {{"member", it->first}});
-    silence.silent.insert(silence.asked.extract(it++));
+    silence.unresponsive.insert(silence.awaiting_reply.extract(it++));
   }
 }
 
--- a/Source/engine/options.h
+++ b/Source/engine/options.h
@@ -1,5 +1,5 @@
-// What an engine is told of its deployment: its own identity, the bounds of the
-// platform and the decoders of the platform's documents.
+// Options of an engine: its identity, the bounds of the platform and the codecs
+// of the platform's documents.
 #ifndef BURDOCKROCK_ENGINE_OPTIONS_H_
 #define BURDOCKROCK_ENGINE_OPTIONS_H_
 
@@ -47,7 +47,7 @@
 
 // The platform's bounds, from the process's settings.
 struct Bounds {
-  Duration max_hold = std::chrono::milliseconds(6000);  // longest lease
+  Duration max_lease = std::chrono::milliseconds(6000);  // of runs
   Duration stop_timeout = std::chrono::milliseconds(400);
   Duration drain_time = std::chrono::milliseconds(2000);
   // How long the state of an ended job is kept.
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -15,7 +15,8 @@
 constexpr Duration kKept = milliseconds(60'000);
 // Whose a job is that has neither runs nor ends here counts for messages that
 // are late, and for former owners that do not know yet that they are. They have
-// given up after kMaxWithoutStore; fifty times as long costs little memory.
+// given up after kMaxRenewalWithoutStore; fifty times as long costs little
+// memory.
 constexpr Duration kKnownKept = milliseconds(600'000);
 
 std::size_t ReadsInFlight(const State& state) {
@@ -123,14 +124,14 @@
     return;
   }
   CatalogEntry& entry = context.state.catalog[job];
-  entry.used = context.now;
+  entry.used_at = context.now;
   entry.want_record = true;
   context.state.catalog_wanted.insert(job);
 }
 
 void WantSpec(Context& context, const std::string& job) {
   CatalogEntry& entry = context.state.catalog[job];
-  entry.used = context.now;
+  entry.used_at = context.now;
   if (entry.spec) {
     DescribeRuns(context, job, *entry.spec);
   } else {
@@ -160,7 +161,7 @@
   std::erase_if(context.state.catalog, [&](const auto& it) {
     const CatalogEntry& entry = it.second;
     return !entry.reading_record && !entry.reading_spec &&
-           HasPassed(context.now, entry.used, kKept);
+           HasPassed(context.now, entry.used_at, kKept);
   });
 }
 
--- a/Source/engine/records/job_codec.cc
+++ b/Source/engine/records/job_codec.cc
@@ -65,7 +65,7 @@
 
 Reason ReasonOf(RefusalCause cause) {
   switch (cause) {
-    case RefusalCause::kStoreAway:
+    case RefusalCause::kStoreUnavailable:
       return Reason::kPlatformDown;
     case RefusalCause::kStopping:
       return Reason::kDraining;
@@ -84,13 +84,13 @@
     body["id"] = request.job;
     return Respond(kAcceptedStatus, body);
   }
-  HttpResponse operator()(const JobShown& it) {
+  HttpResponse operator()(const JobStateFound& it) {
     return Shown(request.job, it.state);
   }
-  HttpResponse operator()(const CancelTaken& it) {
+  HttpResponse operator()(const CancelAccepted& it) {
     return Shown(request.job, it.state);
   }
-  HttpResponse operator()(const WaitingShown& it) {
+  HttpResponse operator()(const WaitingCount& it) {
     Json::Value body(Json::objectValue);
     body["queue"] = request.queue;
     body["waiting"] = it.jobs;
@@ -109,7 +109,7 @@
                                 .problem = it.fault.problem,
                                 .allowed = it.fault.allowed}});
   }
-  HttpResponse operator()(const NotNow& it) {
+  HttpResponse operator()(const Unavailable& it) {
     HttpResponse response =
         EncodeRefusal(kUnavailableStatus, ReasonOf(it.cause), it.detail,
                       "the same request later");
@@ -117,7 +117,7 @@
         std::max<Duration>(it.retry_after, Duration(1)));
     return response;
   }
-  HttpResponse operator()(const NotKnown& it) {
+  HttpResponse operator()(const OutcomeUnknown& it) {
     Json::Value body(Json::objectValue);
     body["verdict"] = Json::StaticString("may_have_run");
     body["id"] = request.job;
@@ -126,12 +126,12 @@
   }
 };
 
-std::optional<CallerQuestion> QuestionAboutJob(const std::string& method) {
+std::optional<CallerQuery> QuestionAboutJob(const std::string& method) {
   if (method == "GET") {
-    return CallerQuestion::kState;
+    return CallerQuery::kState;
   }
   if (method == "DELETE") {
-    return CallerQuestion::kCancel;
+    return CallerQuery::kCancel;
   }
   return std::nullopt;
 }
@@ -167,7 +167,7 @@
     if (request.method != "GET") {
       return NoSuchMethod(request.method, "GET");
     }
-    return CallerRequest{.question = CallerQuestion::kWaiting,
+    return CallerRequest{.query = CallerQuery::kWaiting,
                          .queue = std::string(path.substr(kQueue.size()))};
   }
   if (path.starts_with(kJob)) {
@@ -175,7 +175,7 @@
     if (!question) {
       return NoSuchMethod(request.method, "GET, DELETE");
     }
-    return CallerRequest{.question = *question,
+    return CallerRequest{.query = *question,
                          .job = std::string(path.substr(kJob.size()))};
   }
   auto submission = ReadSubmission(request.body);
@@ -196,7 +196,7 @@
     return std::move(*error);
   }
   auto& submission = std::get<Submission>(decoded);
-  return CallerRequest{.question = CallerQuestion::kSubmit,
+  return CallerRequest{.query = CallerQuery::kSubmit,
                        .queue = std::move(submission.queue),
                        .job = std::move(submission.id),
                        .spec = std::move(submission.spec)};
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -26,7 +26,7 @@
            StoreRange{.prefix = std::string(kJobPrefix),
                       .after = sweep.after,
                       .may_be_stale = true},
-           ForSweep{});
+           ForRecordSweep{});
 }
 
 bool IsLeftOver(const Context& context, const JobRecord& record) {
@@ -39,7 +39,7 @@
 
 void Remove(Context& context, const std::string& job, std::uint64_t revision) {
   QueueChange(context,
-              Change{.kind = ChangeKind::kForgetJob,
+              Change{.kind = ChangeKind::kRemoveJob,
                      .job = job,
                      .conditions = {{.key = JobKey(job), .revision = revision}},
                      .removes = {JobKey(job), SpecKey(job)}});
@@ -69,7 +69,7 @@
   SweepState& sweep = context.state.sweep;
   const bool due = HasPassed(context.now, sweep.swept_at, kSweepInterval);
   if (!due || sweep.in_flight || !IsRegistered(context.state) ||
-      context.state.stop.asked) {
+      context.state.stop.requested) {
     return;
   }
   sweep.swept_at = context.now;
--- a/Source/engine/records/record_writer.cc
+++ b/Source/engine/records/record_writer.cc
@@ -62,7 +62,7 @@
       return OnSaved(context, change.job, change.version, revision);
     case ChangeKind::kAdoptJob:
       return OnAdopted(context, change.job, revision);
-    case ChangeKind::kForgetJob:
+    case ChangeKind::kRemoveJob:
       return;
   }
 }
@@ -77,7 +77,7 @@
       return OnSaveConflict(context, change.job, item);
     case ChangeKind::kAdoptJob:
       return OnAdoptConflict(context, change.job);
-    case ChangeKind::kForgetJob:
+    case ChangeKind::kRemoveJob:
       return;
   }
 }
@@ -129,7 +129,7 @@
     const auto failed = Failed(it, items);
     if (!failed) {
       again.push_back(std::move(it));
-    } else if (it.may_be_done && IsOwnWrite(it, *failed)) {
+    } else if (it.may_be_applied && IsOwnWrite(it, *failed)) {
       context.Log(EventNumber::kLostAnswerSettled,
                   {{"job", it.job}, {"outcome", "written"}});
       OnChangeDone(context, it, failed->revision);
@@ -149,14 +149,13 @@
       std::max<std::size_t>(context.state.members.present.size(), 1));
   const double rate =
       kWriteShare * context.state.options.bounds.store_writes / members;
-  const std::chrono::duration<double> passed = context.now - writer.allowed_at;
-  writer.allowance =
-      std::min(kWriteBurst, writer.allowance + rate * passed.count());
-  writer.allowed_at = context.now;
-  if (writer.allowance < 1) {
+  const std::chrono::duration<double> passed = context.now - writer.refilled_at;
+  writer.tokens = std::min(kWriteBurst, writer.tokens + rate * passed.count());
+  writer.refilled_at = context.now;
+  if (writer.tokens < 1) {
     return false;
   }
-  --writer.allowance;
+  --writer.tokens;
   return true;
 }
 
@@ -170,9 +169,9 @@
   WriterState& writer = context.state.writer;
   // While the fence is being raised a transaction would be bound to the old
   // one.
-  const bool raising = context.state.members.raising;
-  while (!writer.queue.empty() && IsRegistered(context.state) && !raising &&
-         context.now >= writer.retry_at &&
+  const bool advancing_fence = context.state.members.advancing_fence;
+  while (!writer.queue.empty() && IsRegistered(context.state) &&
+         !advancing_fence && context.now >= writer.retry_at &&
          writer.in_flight.size() < kMaxTransactionsInFlight &&
          TakeAllowance(context)) {
     Batch batch = TakeBatch(context);
@@ -201,10 +200,10 @@
   }
   if (std::holds_alternative<StoreUnknown>(answer)) {
     for (Change& it : sent.changes) {
-      it.may_be_done = true;
+      it.may_be_applied = true;
     }
   }
-  context.state.writer.retry_at = context.now + kStoreRetry;
+  context.state.writer.retry_at = context.now + kStoreRetryDelay;
   Requeue(context, std::move(sent.changes));
 }
 
@@ -212,7 +211,7 @@
   std::deque<Change>& queue = context.state.writer.queue;
   const auto it =
       std::find_if(queue.begin(), queue.end(), [&](const Change& c) {
-        return c.kind == kind && c.job == job && !c.may_be_done;
+        return c.kind == kind && c.job == job && !c.may_be_applied;
       });
   if (it == queue.end()) {
     return false;
--- a/Source/engine/records/store_calls.cc
+++ b/Source/engine/records/store_calls.cc
@@ -6,7 +6,7 @@
 
 void NoteTrouble(Context& context, const std::string& detail) {
   StoreState& store = context.state.store;
-  store.last_trouble = context.now;
+  store.last_failure = context.now;
   if (store.healthy) {
     store.healthy = false;
     context.Log(EventNumber::kPlatformUnreachable, {{"problem", detail}});
@@ -57,8 +57,8 @@
 }
 
 bool StoreIsUnsteady(const Context& context) {
-  return !HasPassed(context.now, context.state.store.last_trouble,
-                    kStoreUnsteady);
+  return !HasPassed(context.now, context.state.store.last_failure,
+                    kStoreUnsteadyPeriod);
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -28,7 +28,7 @@
 constexpr Duration kMembersReview = milliseconds(200);
 
 Duration PauseOf(WatchedList list) {
-  return list == WatchedList::kWorkers ? kWorkersPause : Duration(0);
+  return list == WatchedList::kWorkers ? kWorkerWatchInterval : Duration(0);
 }
 
 void OnConfigurationItem(Context& context, const StoreItem& item) {
@@ -173,7 +173,7 @@
 
 void StartRead(Context& context, WatchedList list, Watch& watch) {
   watch.in_flight = true;
-  watch.asked_at = context.now;
+  watch.sent_at = context.now;
   AskStore(
       context,
       StoreRange{.prefix = PrefixOf(context.state, list), .after = watch.after},
@@ -182,7 +182,7 @@
 
 void StartWatch(Context& context, WatchedList list, Watch& watch) {
   watch.in_flight = true;
-  watch.asked_at = context.now;
+  watch.sent_at = context.now;
   AskStore(context,
            StoreWatch{.prefix = PrefixOf(context.state, list),
                       .after = watch.revision,
@@ -225,31 +225,31 @@
       OnPage(context, list, *done);
     } else {
       OnChanges(context, list, *done);
-      watch.known_to = std::max(watch.known_to, watch.asked_at);
+      watch.known_to = std::max(watch.known_to, watch.sent_at);
       watch.retry_at = context.now + PauseOf(list);
     }
   } else if (std::holds_alternative<StoreAbsent>(answer)) {
     ReadAgain(watch);
   } else {
-    watch.retry_at = context.now + kStoreRetry;
+    watch.retry_at = context.now + kStoreRetryDelay;
   }
   DriveWatches(context);
 }
 
 void WantMembers(Context& context) {
-  MembersReview& review = context.state.members_review;
+  MembersCheck& review = context.state.members_check;
   if (review.in_flight ||
-      !HasPassed(context.now, review.asked_at, kMembersReview)) {
+      !HasPassed(context.now, review.sent_at, kMembersReview)) {
     return;
   }
   review.in_flight = true;
-  review.asked_at = context.now;
+  review.sent_at = context.now;
   AskStore(context, StoreRange{.prefix = std::string(kMemberPrefix)},
-           ForMembersReview{});
+           ForMembersCheck{});
 }
 
 void OnMembersReviewed(Context& context, const StoreAnswer& answer) {
-  MembersReview& review = context.state.members_review;
+  MembersCheck& review = context.state.members_check;
   review.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
@@ -262,7 +262,7 @@
   if (!page->more) {
     Watch& watch =
         context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
-    watch.known_to = std::max(watch.known_to, review.asked_at);
+    watch.known_to = std::max(watch.known_to, review.sent_at);
   }
 }
 
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -7,6 +7,7 @@
 
 #include "engine/advice/advice.h"
 #include "engine/advice/advice_turns.h"
+#include "engine/condition_log.h"
 #include "engine/jobs/adoption.h"
 #include "engine/jobs/job_progress.h"
 #include "engine/jobs/job_runs.h"
@@ -20,7 +21,6 @@
 #include "engine/members/node_records.h"
 #include "engine/members/planned_stop.h"
 #include "engine/members/silence.h"
-#include "engine/notices.h"
 #include "engine/records/catalog.h"
 #include "engine/records/record_sweep.h"
 #include "engine/records/record_writer.h"
@@ -81,7 +81,7 @@
     OnLeaseRenewed(context, it.lease, answer);
   }
   void operator()(const ForRegistration&) { OnRegistered(context, answer); }
-  void operator()(const ForRaise&) { OnRaised(context, answer); }
+  void operator()(const ForFenceAdvance&) { OnRaised(context, answer); }
   void operator()(const ForBatch& it) {
     OnBatchAnswer(context, it.batch, answer);
   }
@@ -89,15 +89,15 @@
   void operator()(const ForSpecRead& it) {
     OnSpecRead(context, it.job, answer);
   }
-  void operator()(const ForOrphans& it) {
+  void operator()(const ForOrphanScan& it) {
     OnOrphanPage(context, it.prefix, answer);
   }
-  void operator()(const ForSweep&) { OnSweepPage(context, answer); }
-  void operator()(const ForMembersReview&) {
+  void operator()(const ForRecordSweep&) { OnSweepPage(context, answer); }
+  void operator()(const ForMembersCheck&) {
     OnMembersReviewed(context, answer);
   }
-  void operator()(const ForNodes& it) {
-    OnNodePage(context, it.forget, answer);
+  void operator()(const ForNodeRecords& it) {
+    OnNodePage(context, it.remove, answer);
   }
   void operator()(const ForWaveStatus& it) {
     OnWaveTold(context, it.wave, it.completed, answer);
@@ -112,14 +112,16 @@
     context.state.members.last_contact = context.now;
   }
   void operator()(const TimePassed&) {}
-  void operator()(const CallerAsked& it) { OnCallerAsked(context, it); }
+  void operator()(const CallerRequestReceived& it) {
+    OnCallerAsked(context, it);
+  }
   void operator()(const StoreAnswered& it) {
     if (auto purpose = TakeStoreCall(context, it)) {
       std::visit(PurposeVisitor{context, it.answer}, *purpose);
     }
   }
   void operator()(const WorkerAnswered& it) {
-    if (std::holds_alternative<HoldWorker>(it.request)) {
+    if (std::holds_alternative<PollWorker>(it.request)) {
       OnHoldAnswer(context, it);
     } else if (!std::holds_alternative<PaceRun>(it.request)) {
       OnOrderAnswer(context, it);
@@ -129,11 +131,11 @@
   void operator()(const MachinesAnswered& it) {
     OnMachinesAnswered(context, it);
   }
-  void operator()(const PeerSaid& it) {
+  void operator()(const PeerMessageReceived& it) {
     NoteWord(context, it.from);
     std::visit(PeerVisitor{context, it.from}, it.message);
   }
-  void operator()(const StopAsked&) { BeginStop(context); }
+  void operator()(const StopRequested&) { BeginStop(context); }
   void operator()(const BoundsChanged& it) {
     context.state.options.bounds = it.bounds;
   }
@@ -153,7 +155,8 @@
 // enough.
 bool StoreIsUnavailable(const State& state) {
   return !state.store.healthy &&
-         HasPassed(state.drive.driven_at, state.store.last_answer, kStoreAway);
+         HasPassed(state.drive.driven_at, state.store.last_answer,
+                   kStoreUnavailableAfter);
 }
 
 // Does what must not wait for the next Drive(): stops, reads and writes of the
@@ -170,9 +173,9 @@
   DriveState& drive = context.state.drive;
   drive.due = false;
   drive.driven_at = context.now;
-  const bool check_timeouts = HasPassed(context.now, drive.kept_at, kTick);
+  const bool check_timeouts = HasPassed(context.now, drive.ticked_at, kTick);
   if (check_timeouts) {
-    drive.kept_at = context.now;
+    drive.ticked_at = context.now;
   }
   DriveMembership(context);
   DriveNodes(context);
@@ -199,15 +202,15 @@
   DrivePlacement(context);
   DrainInbox(context);
   DriveProgress(context);
-  if (HasPassed(context.now, drive.forgot_at, kForgetInterval)) {
-    drive.forgot_at = context.now;
+  if (HasPassed(context.now, drive.expired_at, kExpiryInterval)) {
+    drive.expired_at = context.now;
     DriveWorkerList(context);
     ForgetEnded(context);
     ForgetUnused(context);
   }
   DriveWriter(context);
   DriveDigests(context);
-  DriveNotices(context);
+  DriveConditionLog(context);
   DriveStop(context);
   DrainInbox(context);
 }
@@ -226,7 +229,7 @@
 State MakeState(EngineOptions options) {
   State state;
   state.random.seed(options.seed);
-  state.last_question = FirstCall(options.self.incarnation);
+  state.last_query = FirstCall(options.self.incarnation);
   state.advice.last_call = FirstCall(options.self.incarnation);
   state.options = std::move(options);
   return state;
@@ -259,7 +262,8 @@
 
 bool IsReady(const State& state) {
   return state.configuration.version != 0 && IsRegistered(state) &&
-         ListsAreRead(state) && !state.stop.asked && !StoreIsUnavailable(state);
+         ListsAreRead(state) && !state.stop.requested &&
+         !StoreIsUnavailable(state);
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -22,10 +22,10 @@
 #include "engine/jobs/job.h"
 #include "engine/jobs/worker_set.h"
 #include "engine/limits.h"
+#include "engine/log_repeat_limiter.h"
 #include "engine/members/peer_message.h"
 #include "engine/options.h"
 #include "engine/records/record.h"
-#include "engine/reminders.h"
 #include "engine/response_time.h"
 #include "engine/workers/end_log.h"
 #include "engine/workers/owned_worker.h"
@@ -50,7 +50,7 @@
   std::uint64_t lease = 0;
 };
 struct ForRegistration {};
-struct ForRaise {};
+struct ForFenceAdvance {};
 struct ForBatch {
   std::uint64_t batch = 0;
 };
@@ -60,14 +60,14 @@
 struct ForSpecRead {
   std::string job{};
 };
-struct ForOrphans {
+struct ForOrphanScan {
   std::string prefix{};
 };
-struct ForSweep {};
-struct ForMembersReview {};
-struct ForNodes {
+struct ForRecordSweep {};
+struct ForMembersCheck {};
+struct ForNodeRecords {
   // Removes entries of machines that left long ago; else reads the entries.
-  bool forget = false;
+  bool remove = false;
 };
 struct ForWaveStatus {
   std::uint64_t wave = 0;
@@ -80,14 +80,14 @@
                                   ForLeaseGrant,
                                   ForLeaseRenewal,
                                   ForRegistration,
-                                  ForRaise,
+                                  ForFenceAdvance,
                                   ForBatch,
                                   ForJobRead,
                                   ForSpecRead,
-                                  ForOrphans,
-                                  ForSweep,
-                                  ForMembersReview,
-                                  ForNodes,
+                                  ForOrphanScan,
+                                  ForRecordSweep,
+                                  ForMembersCheck,
+                                  ForNodeRecords,
                                   ForWaveStatus,
                                   ForNothing>;
 
@@ -98,7 +98,7 @@
   Time last_answer{0};
   // Last call that was refused or got no reply. A watch that gets no reply does
   // not count.
-  Time last_trouble = Time::min();
+  Time last_failure = Time::min();
   bool healthy = false;  // the last call counts for last_answer
   std::uint64_t total_calls = 0;
 };
@@ -112,21 +112,22 @@
   std::string after{};              // last key of the previous page
   std::set<std::string> seen{};     // keys read so far
   bool complete = false;            // all pages were read at least once
-  Time asked_at = Time::min();      // start of the call in flight
+  Time sent_at = Time::min();       // start of the call in flight
   Time known_to = Time::min();      // all changes up to then are known
   Time retry_at{0};
 };
 
 // A read of the list of members in addition to its watch.
-struct MembersReview {
+struct MembersCheck {
   bool in_flight = false;
-  Time asked_at = Time::min();
+  Time sent_at = Time::min();
 };
 
 // Members.
 
 struct Member {
-  Time parted_at = kForever;  // when it reported that it renews no more leases
+  // When it reported that it renews no more leases.
+  Time stopped_renewing_at = kForever;
   MemberRecord record{};
   std::uint64_t fence = 0;  // the registration's revision
 };
@@ -134,11 +135,10 @@
 // A member whose registration has ended.
 struct DepartedMember {
   Member member{};
-  Time gone_at = kForever;  // its work is taken over from then on
-  Time left_at{0};          // when it was missing from the store's list
-  // When it stopped renewing leases: its machine runs another process, or it
-  // reported so.
-  Time replaced_at = kForever;
+  Time lost_at = kForever;  // its work is taken over from then on
+  Time unlisted_at{0};      // when it was missing from the store's list
+  // Its machine runs another process since then, or it reported so.
+  Time stopped_renewing_at = kForever;
 };
 
 // Machines whose processes registered and left before this instance read the
@@ -151,7 +151,7 @@
   Time read_at = Time::min();      // when the last read began
   std::set<std::string> listed{};  // with a member in the first list
   // By machine: when another process was first seen there; kForever: none yet.
-  std::map<std::string, Time> unseen{};
+  std::map<std::string, Time> replaced_at{};
 };
 
 // The member of a machine that may be chosen as an owner.
@@ -171,9 +171,9 @@
   Time renewal_sent{0};
   bool granting = false;
   bool registering = false;
-  bool raising = false;
-  bool raise_wanted = false;
-  Time raised_at = Time::min();
+  bool advancing_fence = false;
+  bool fence_advance_due = false;
+  Time fence_advanced_at = Time::min();
   std::uint64_t fence = 0;  // 0: not registered
   Time registered_at{0};
   // The registration was valid then: a renewal sent at that time succeeded.
@@ -190,21 +190,23 @@
 struct RoomView;
 
 // Members with an unanswered offer, by incarnation, and when it was sent.
-struct SilenceState {
-  std::map<std::string, Time> asked{};   // the timeout has not passed yet
-  std::map<std::string, Time> silent{};  // timed out; they get no offers
-  ResponseTime answers{};
+struct UnresponsiveMembers {
+  // The timeout has not passed yet.
+  std::map<std::string, Time> awaiting_reply{};
+  // The timeout has passed; they get no offers.
+  std::map<std::string, Time> unresponsive{};
+  ResponseTime response_time{};
 };
 
 // Reply times and unanswered calls of the owned workers.
-struct WorkerAnswers {
-  ResponseTime time{};         // of commands
-  Time lost_at = Time::min();  // the last call without a reply
+struct WorkerResponses {
+  ResponseTime response_time{};      // of commands
+  Time unanswered_at = Time::min();  // the last call without a reply
 };
 
 // A worker of the platform's list. One that leaves the list is kept for
-// kUnlistedKept: it may still run and only have lost its connection to the
-// store.
+// kUnlistedWorkerKeptFor: it may still run and only have lost its connection to
+// the store.
 struct ListedWorker {
   WorkerInfo info{};
   bool listed = true;
@@ -223,10 +225,10 @@
   Resources free{};
   Resources yielding{};  // could be freed for the most urgent work
   bool accepting = false;
-  bool gone = false;
+  bool lost = false;
   // Run times in hundredths of their estimates; 0: unknown.
   std::uint32_t slowness = 0;
-  Time heard{0};
+  Time updated_at{0};
   // Whether the owner is a member, as of this version of the members.
   std::uint64_t checked_version = 0;
   bool owner_is_member = false;
@@ -234,7 +236,7 @@
 
 // Group commit.
 
-enum class ChangeKind { kCreateJob, kSaveJob, kAdoptJob, kForgetJob };
+enum class ChangeKind { kCreateJob, kSaveJob, kAdoptJob, kRemoveJob };
 
 // A write that is queued for the store. All of it goes into one transaction.
 struct Change {
@@ -244,7 +246,7 @@
   std::vector<StoreCondition> conditions{};
   std::vector<StorePut> puts{};
   std::vector<std::string> removes{};
-  bool may_be_done = false;  // an earlier attempt got no reply
+  bool may_be_applied = false;  // an earlier attempt got no reply
 
   std::size_t entries() const {
     return conditions.size() + puts.size() + removes.size();
@@ -258,8 +260,8 @@
 };
 
 struct WriterState {
-  double allowance = 0;  // transactions that may be sent now (token bucket)
-  Time allowed_at{0};    // when `allowance` was last computed
+  double tokens = 0;    // transactions that may be sent now (token bucket)
+  Time refilled_at{0};  // when `tokens` was last computed
   std::deque<Change> queue{};
   std::map<std::uint64_t, Batch> in_flight{};
   std::uint64_t last_batch = 0;
@@ -280,18 +282,18 @@
   bool want_spec = false;
   Time read_at = Time::min();     // start of the last read of the record
   Time known_from = Time::min();  // start of the read that returned `record`
-  Time used{0};                   // last use; unused entries expire
+  Time used_at{0};                // last use; unused entries expire
 };
 
 // A pending query of a caller about a job.
-struct WaitingCaller {
+struct PendingCallerQuery {
   std::uint64_t call = 0;
-  CallerQuestion question = CallerQuestion::kState;
+  CallerQuery query = CallerQuery::kState;
   std::string job{};
-  Time since{0};        // when it arrived
-  Time give_up{0};      // when it is answered as not known
-  std::string asked{};  // the member that was queried last
-  Time asked_at = Time::min();
+  Time since{0};                 // when it arrived
+  Time deadline{0};              // when it is answered as not known
+  std::string queried_member{};  // the member that was queried last
+  Time queried_at = Time::min();
   // Only a record whose read began then or later is used.
   Time read_from = Time::min();
 };
@@ -310,36 +312,36 @@
 
 // Queries about the adopted jobs whose recovery is not complete.
 struct RecoveryState {
-  WorkerNumbers numbers{};          // of the workers in the jobs' sets
-  Time asked_at = Time::min();      // last query to members with reports due
-  Time asked_all_at = Time::min();  // last query to every member
+  WorkerNumbers numbers{};            // of the workers in the jobs' sets
+  Time queried_at = Time::min();      // last query to members with reports due
+  Time queried_all_at = Time::min();  // last query to every member
   // When a member was last sent all workers that left the list and whose runs
   // are still unknown.
-  std::map<std::string, Time> told{};
+  std::map<std::string, Time> announced_at{};
 };
 
 // Whether the members have reported the workers that left the list before this
 // instance followed it; collected anew with each registration.
 struct UnseenWorkers {
   Time registered_at{0};
-  std::set<std::string> told_by{};  // incarnations
+  std::set<std::string> reported_by{};  // incarnations
   // A member that has followed the list for long enough has reported.
-  bool all_told = false;
+  bool all_reported = false;
 };
 
 // Waves of upkeep, and the state of their duty: the one instance that sends
 // commands to the service of machines.
 struct UpkeepState {
   std::map<std::uint64_t, WaveProgress> waves{};
-  Time held_since = kForever;  // when this instance took the duty
+  Time duty_since = kForever;  // when this instance took the duty
   bool in_flight = false;      // a call to the service of machines
   Time called_at{0};
   Time retry_at{0};
-  Time list_asked = Time::min();
+  Time list_requested_at = Time::min();
   bool listed = false;  // machines were listed since the duty was taken
   MachineList machines{};
   MachineList reading{};
-  bool telling = false;  // a write of a wave's status is in flight
+  bool writing_status = false;  // a write of a wave's status is in flight
 };
 
 // Machines that were moved out of standby pools.
@@ -349,7 +351,7 @@
   std::set<std::pair<std::string, std::string>> impossible{};
   std::set<std::string> emptied{};  // workers that are prepared for a move
   Time moved_at = Time::min();
-  Time asked_at = Time::min();
+  Time prepare_sent_at = Time::min();
 };
 
 // A scan for records of ended jobs that have no owner.
@@ -361,40 +363,41 @@
 };
 
 // A pending advice query for a step of an owned job.
-struct AdviceQuestion {
+struct AdviceQuery {
   TaskName step{};       // the index is ignored
   std::string member{};  // makes the call to the service
   std::vector<std::string> workers{};
   std::uint32_t priority = 0;
   AdviceReason reason = AdviceReason::kFirst;
   Duration expected{0};
-  Time asked{0};
+  Time sent_at{0};
   Time due{0};  // when the reply is expected
-  Time give_up{0};
+  Time deadline{0};
 };
 
 // A queued call to the advice service on behalf of a member or this instance.
-struct AdviceTurn {
+struct QueuedAdviceCall {
   std::string from{};
-  AdviceAsk ask{};
-  Time arrived{0};
+  AdviceAsk request{};
+  Time received_at{0};
 };
 
 struct AdviceState {
   std::uint64_t last_call = 0;
-  std::map<std::uint64_t, AdviceQuestion> questions{};
-  std::deque<AdviceTurn> turns{};
-  std::optional<AdviceTurn> in_flight{};
+  std::map<std::uint64_t, AdviceQuery> queries{};
+  std::deque<QueuedAdviceCall> call_queue{};
+  std::optional<QueuedAdviceCall> in_flight{};
   Time called_at{0};  // start of the call in flight
   Time retry_at{0};
-  Duration late{0};  // how far recent calls exceeded their expected time
-  Time late_at{0};
+  Duration overrun{0};  // how far recent calls exceeded their expected time
+  Time overrun_at{0};
   // Queueing times at the members as they report them; longer after a query
   // without a reply.
   std::map<std::string, Duration> waits{};
   std::map<std::string, Duration> urgent_waits{};
-  std::map<std::string, Time> heard{};  // last report
-  std::set<std::string> silent{};       // with an overdue reply, and no message
+  std::map<std::string, Time> reported_at{};  // last report
+  // With an overdue reply, and no message since.
+  std::set<std::string> unresponsive{};
   std::map<std::string, AllowedShare> shares{};  // by queue
 };
 
@@ -404,31 +407,32 @@
   bool waiting_changed = false;
   std::uint64_t sequence = 0;  // of the last digest with a change
   Time sent_at = Time::min();
-  Time looked_at = Time::min();  // last check for urgent changes
-  bool settled = false;          // the last digest contained no change
+  Time urgent_checked_at = Time::min();  // last check for urgent changes
+  bool settled = false;                  // the last digest contained no change
   // The values that were sent last.
-  std::map<std::string, std::uint32_t> told_waiting{};  // by queue
-  struct ToldWorker {
+  std::map<std::string, std::uint32_t> sent_waiting{};  // by queue
+  struct SentWorker {
     std::uint64_t fence = 0;
     bool accepting = false;
-    bool gone = false;
-    auto operator<=>(const ToldWorker&) const = default;
+    bool lost = false;
+    auto operator<=>(const SentWorker&) const = default;
   };
-  std::map<std::string, ToldWorker> told{};
-  std::set<std::string> askers{};  // members that get a full digest next
+  std::map<std::string, SentWorker> sent_workers{};
+  // Members that get a full digest next.
+  std::set<std::string> full_digest_requests{};
   // By incarnation: the digest up to which all were received.
-  std::map<std::string, std::uint64_t> heard{};
+  std::map<std::string, std::uint64_t> received_up_to{};
   // By incarnation: last request for a full digest, after one was missed.
-  std::map<std::string, Time> missed{};
+  std::map<std::string, Time> full_requested_at{};
   // Waiting jobs as the peers reported them, by incarnation and queue.
   std::map<std::string, std::map<std::string, std::uint32_t>> waiting{};
 };
 
 // A planned stop of this instance.
 struct StopState {
-  bool asked = false;
-  Time asked_at{0};
-  Time since{0};          // start of the current stage
+  bool requested = false;
+  Time requested_at{0};
+  Time stage_since{0};    // start of the current stage
   bool released = false;  // the registration was ended
   bool ended = false;
 };
@@ -437,8 +441,8 @@
 struct DriveState {
   bool due = false;  // events were handled since
   Time driven_at = Time::min();
-  Time kept_at = Time::min();    // last check of timeouts
-  Time forgot_at = Time::min();  // last removal of expired entries
+  Time ticked_at = Time::min();   // last check of timeouts
+  Time expired_at = Time::min();  // last removal of expired entries
 };
 
 // Totals since the start, for the metrics.
@@ -449,7 +453,7 @@
   std::uint64_t offers = 0;
   std::uint64_t offers_refused = 0;
   std::uint64_t starts = 0;
-  std::uint64_t holds = 0;
+  std::uint64_t polls = 0;
   std::uint64_t adopted = 0;
   std::uint64_t completed = 0;
   std::uint64_t failed = 0;
@@ -458,15 +462,15 @@
 };
 
 // State of the log of lasting conditions.
-struct NoticesState {
-  Time seen_at = Time::min();
-  Time cancels_seen_at = Time::min();
-  Time advice_told_at = Time::min();
-  Reminders recoveries{};  // by job
-  Reminders claims{};      // by worker
-  Reminders stops{};       // by worker
-  Reminders cancels{};     // by job
-  Reminders waits{};       // by step
+struct ConditionLogState {
+  Time checked_at = Time::min();
+  Time cancels_checked_at = Time::min();
+  Time advice_logged_at = Time::min();
+  LogRepeatLimiter recoveries{};  // by job
+  LogRepeatLimiter claims{};      // by worker
+  LogRepeatLimiter stops{};       // by worker
+  LogRepeatLimiter cancels{};     // by job
+  LogRepeatLimiter waits{};       // by step
   // By job that may still run: when its cancel was acknowledged.
   std::map<std::string, Time> cancelled{};
 };
@@ -479,20 +483,20 @@
   // Text of each worker's entry as it was last decoded, by key.
   std::unordered_map<std::string, std::string> worker_entries{};
   MembersState members{};
-  MembersReview members_review{};
-  SilenceState silence{};
+  MembersCheck members_check{};
+  UnresponsiveMembers unresponsive_members{};
   Configuration configuration{};
   std::map<std::string, ListedWorker> workers{};  // by id
   std::map<std::string, OwnedWorker> owned{};
-  WorkerAnswers worker_answers{};
-  Time ownership_reviewed = Time::min();
-  Time runs_reviewed = Time::min();
-  std::map<std::string, GoneWorker> gone{};
+  WorkerResponses worker_responses{};
+  Time ownership_checked_at = Time::min();
+  Time runs_checked_at = Time::min();
+  std::map<std::string, GoneWorker> lost_workers{};
   // By worker that this instance no longer owns: when the last lease that it
   // renewed there expires.
   std::map<std::string, Time> released{};
-  std::uint64_t last_lease_question = 0;
-  Time leases_asked = Time::min();
+  std::uint64_t last_lease_query = 0;
+  Time leases_queried_at = Time::min();
   std::map<std::string, RoomView> view{};  // by worker
   // Jobs with runs on owned workers.
   std::unordered_map<std::string, KnownJob> known{};
@@ -501,13 +505,13 @@
   std::map<std::string, Job> jobs{};
   std::set<std::string> active{};  // owned jobs that have not ended
   WriterState writer{};
-  std::map<std::uint64_t, WaitingCaller> callers{};
-  std::uint64_t last_question = 0;
+  std::map<std::uint64_t, PendingCallerQuery> callers{};
+  std::uint64_t last_query = 0;
   std::map<std::string, Orphan> orphans{};
   std::map<std::string, OrphanScan> scans{};  // by prefix
   Time scanned_at = Time::min();
   RecoveryState recovery{};
-  UnseenWorkers unseen{};
+  UnseenWorkers unseen_workers{};
   SweepState sweep{};
   UpkeepState upkeep{};
   PoolsState pools{};
@@ -520,7 +524,7 @@
   std::map<std::string, TaskStops> stops{};
   bool placement_due = false;
   Time placed_at = Time::min();
-  NoticesState notices{};
+  ConditionLogState condition_log{};
   EndLog end_log{};
   Totals totals{};
 };
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -19,16 +19,17 @@
 
 // A process goes on renewing for so long without the store.
 Duration LongestSpan(const Context& context) {
-  return kMaxWithoutStore + LeaseSpan(context);
+  return kMaxRenewalWithoutStore + LeaseSpan(context);
 }
 
 // The store's list has lacked the member since it left.
 Time EndOfDeparted(const Context& context, const DepartedMember& member) {
-  const Time without_store = member.left_at + LongestSpan(context);
-  if (member.replaced_at == kForever) {
+  const Time without_store = member.unlisted_at + LongestSpan(context);
+  if (member.stopped_renewing_at == kForever) {
     return without_store;
   }
-  return std::min(without_store, member.replaced_at + LeaseSpan(context));
+  return std::min(without_store,
+                  member.stopped_renewing_at + LeaseSpan(context));
 }
 
 // Of members that left before this instance read the list first.
@@ -42,7 +43,7 @@
     return longest;
   }
   Time end = Time::min();
-  for (const auto& [node, replaced_at] : members.nodes.unseen) {
+  for (const auto& [node, replaced_at] : members.nodes.replaced_at) {
     end = std::max(end,
                    replaced_at == kForever
                        ? longest
@@ -90,8 +91,8 @@
     }
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    const bool may_renew =
-        it.replaced_at == kForever && context.now < EndOfDeparted(context, it);
+    const bool may_renew = it.stopped_renewing_at == kForever &&
+                           context.now < EndOfDeparted(context, it);
     if (may_renew && !worker.told.contains(incarnation)) {
       unheard.push_back(incarnation);
     }
@@ -103,13 +104,13 @@
 
 Duration LeaseSpan(const Context& context) {
   return std::chrono::duration_cast<Duration>(
-             context.state.options.bounds.max_hold * kClockDrift) +
+             context.state.options.bounds.max_lease * kClockDrift) +
          kLeaseMargin;
 }
 
 void SuspectLeases(Context& context, OwnedWorker& worker) {
   worker.foreign_bound = context.now + LongestSpan(context);
-  worker.lease_question = ++context.state.last_lease_question;
+  worker.lease_question = ++context.state.last_lease_query;
   worker.told.clear();
 }
 
@@ -151,11 +152,11 @@
 }
 
 void DriveLeaseQueries(Context& context) {
-  if (!HasPassed(context.now, context.state.leases_asked, kAskAgain) ||
+  if (!HasPassed(context.now, context.state.leases_queried_at, kAskAgain) ||
       !IsSurelyRegistered(context)) {
     return;
   }
-  context.state.leases_asked = context.now;
+  context.state.leases_queried_at = context.now;
   std::erase_if(context.state.released,
                 [&](const auto& it) { return it.second <= context.now; });
   std::map<std::string, LeaseQuery> queries;
--- a/Source/engine/workers/pacing.cc
+++ b/Source/engine/workers/pacing.cc
@@ -57,7 +57,7 @@
                                              .run = run.run,
                                              .percent = pace,
                                              .fence = worker.fence},
-                          .timeout = kOrderTimeout});
+                          .timeout = kMaxCommandTimeout});
 }
 
 }  // namespace
--- a/Source/engine/workers/pools.cc
+++ b/Source/engine/workers/pools.cc
@@ -82,8 +82,8 @@
   }
   const std::string owner = OwnerOfWorker(context, worker);
   if (!owner.empty() &&
-      HasPassed(context.now, pools.asked_at, kPrepareRepeat)) {
-    pools.asked_at = context.now;
+      HasPassed(context.now, pools.prepare_sent_at, kPrepareRepeat)) {
+    pools.prepare_sent_at = context.now;
     Send(context, owner, PrepareWorker{.worker = worker});
   }
   return std::nullopt;
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -114,7 +114,7 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored || !HasPassed(context.now, end.told, kEndRepeat)) {
+      if (end.stored || !HasPassed(context.now, end.told, kEndReportInterval)) {
         continue;
       }
       end.told = context.now;
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -18,9 +18,9 @@
 // Between two reviews of all runs; small against the time in which the run of a
 // cancelled job has to be gone.
 constexpr Duration kReviewInterval = milliseconds(250);
-// A job's owner asks for each run every kRunCheck, and a slow one a second
+// A job's owner asks for each run every kRunQueryDelay, and a slow one a second
 // later.
-constexpr Duration kUnaskedFor = kRunCheck + milliseconds(1000);
+constexpr Duration kUnaskedFor = kRunQueryDelay + milliseconds(1000);
 // Between two reads of one job's record for this.
 constexpr Duration kAskAgain = milliseconds(1000);
 
@@ -67,10 +67,10 @@
 }  // namespace
 
 void ReviewRuns(Context& context) {
-  if (!HasPassed(context.now, context.state.runs_reviewed, kReviewInterval)) {
+  if (!HasPassed(context.now, context.state.runs_checked_at, kReviewInterval)) {
     return;
   }
-  context.state.runs_reviewed = context.now;
+  context.state.runs_checked_at = context.now;
   Review review;
   for (const auto& [id, worker] : context.state.owned) {
     if (!worker.claimed) {
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -36,14 +36,14 @@
 bool HoldsDuty(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
   const bool chosen = IsSurelyRegistered(context) &&
-                      !context.state.stop.asked &&
+                      !context.state.stop.requested &&
                       ChooseMember(context.state, kDuty, {}) == context.self();
   if (!chosen) {
-    upkeep.held_since = kForever;
+    upkeep.duty_since = kForever;
     return false;
   }
-  upkeep.held_since = std::min(upkeep.held_since, context.now);
-  return HasPassed(context.now, upkeep.held_since,
+  upkeep.duty_since = std::min(upkeep.duty_since, context.now);
+  return HasPassed(context.now, upkeep.duty_since,
                    context.state.options.bounds.duty_lease);
 }
 
@@ -59,7 +59,7 @@
 void TellWave(Context& context, std::uint64_t number, bool completed) {
   const StoreDocuments& documents = context.state.options.documents;
   UpkeepState& upkeep = context.state.upkeep;
-  upkeep.telling = true;
+  upkeep.writing_status = true;
   AskStore(
       context,
       StoreTransaction{
@@ -72,7 +72,7 @@
 }
 
 void DriveStatus(Context& context, WaveProgress& progress) {
-  if (context.state.upkeep.telling) {
+  if (context.state.upkeep.writing_status) {
     return;
   }
   if (!progress.running_told) {
@@ -157,14 +157,14 @@
   upkeep.machines = std::exchange(upkeep.reading, {});
   upkeep.listed = true;
   for (auto& [number, wave] : upkeep.waves) {
-    TakeListing(wave, upkeep.machines, upkeep.list_asked);
+    TakeListing(wave, upkeep.machines, upkeep.list_requested_at);
   }
-  TakeLives(context, upkeep.machines, upkeep.list_asked);
+  TakeLives(context, upkeep.machines, upkeep.list_requested_at);
 }
 
 void AskForList(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
-  upkeep.list_asked = context.now;
+  upkeep.list_requested_at = context.now;
   upkeep.reading.clear();
   Call(context, ListMachines{});
 }
@@ -241,7 +241,8 @@
   const bool on_duty = (open || standby) && HoldsDuty(context);
   const bool may_list = !upkeep.in_flight && context.now >= upkeep.retry_at;
   const bool list_due =
-      on_duty && HasPassed(context.now, upkeep.list_asked, kListInterval);
+      on_duty &&
+      HasPassed(context.now, upkeep.list_requested_at, kListInterval);
   if (may_list && (list_due || WantsLives(context))) {
     AskForList(context);
   }
@@ -287,7 +288,7 @@
                 std::uint64_t wave,
                 bool completed,
                 const StoreAnswer& answer) {
-  context.state.upkeep.telling = false;
+  context.state.upkeep.writing_status = false;
   const auto it = context.state.upkeep.waves.find(wave);
   if (it == context.state.upkeep.waves.end() ||
       !std::holds_alternative<StoreDone>(answer)) {
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -80,13 +80,14 @@
 void DriveWorkerList(Context& context) {
   std::erase_if(context.state.workers, [&](const auto& it) {
     return !it.second.listed && !context.state.owned.contains(it.first) &&
-           HasPassed(context.now, it.second.unlisted_at, kUnlistedKept);
+           HasPassed(context.now, it.second.unlisted_at,
+                     kUnlistedWorkerKeptFor);
   });
 }
 
 bool MayRunTasks(const State& state, const std::string& worker) {
   const auto view = state.view.find(worker);
-  const bool ended = view != state.view.end() && view->second.gone;
+  const bool ended = view != state.view.end() && view->second.lost;
   return !ended && FindWorker(state, worker) != nullptr;
 }
 
@@ -117,7 +118,7 @@
       context.state.watches[static_cast<std::size_t>(WatchedList::kWorkers)];
   return watch.complete && IsSurelyRegistered(context) &&
          HasPassed(context.now, context.state.members.registered_at,
-                   kUnlistedKept) &&
+                   kUnlistedWorkerKeptFor) &&
          !HasPassed(context.now, watch.known_to, kListLag);
 }
 
@@ -126,7 +127,7 @@
   bool changed = false;
   for (const RememberedWorker& it : workers) {
     const auto view = context.state.view.find(it.worker);
-    const bool gone = view != context.state.view.end() && view->second.gone;
+    const bool gone = view != context.state.view.end() && view->second.lost;
     if (gone || context.state.workers.contains(it.worker)) {
       continue;
     }
--- a/Source/engine/workers/worker_list.h
+++ b/Source/engine/workers/worker_list.h
@@ -17,7 +17,8 @@
 
 // Something may run there: the worker is known, and no end of it was reported.
 // The table alone is not enough: an ended worker comes back into it when the
-// list is read anew before its entry lapses, and stays for kUnlistedKept.
+// list is read anew before its entry lapses, and stays for
+// kUnlistedWorkerKeptFor.
 bool MayRunTasks(const State& state, const std::string& worker);
 
 // What to tell of a worker that left the list to a member that may not know it;
--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/worker_lives.cc
@@ -41,7 +41,7 @@
       kLivesInterval +
       kLivesIntervalPerMember *
           static_cast<std::int64_t>(state.members.present.size());
-  return HasPassed(context.now, state.upkeep.list_asked, interval) &&
+  return HasPassed(context.now, state.upkeep.list_requested_at, interval) &&
          std::any_of(
              state.owned.begin(), state.owned.end(),
              [&](const auto& it) { return IsInDoubt(context, it.second); });
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -65,9 +65,9 @@
 bool MayRenew(const Context& context, const OwnedWorker& worker) {
   const bool silent =
       worker.missed_since != Time(0) &&
-      HasPassed(context.now, worker.missed_since, kRenewWithoutAnswer);
+      HasPassed(context.now, worker.missed_since, kMaxRenewalWithoutAnswer);
   const bool alone = HasPassed(context.now, context.state.members.last_contact,
-                               kMaxWithoutStore);
+                               kMaxRenewalWithoutStore);
   return worker.claimed && !silent && !alone && !context.state.stop.released;
 }
 
@@ -93,18 +93,18 @@
 }
 
 bool AnswersGetLost(const Context& context) {
-  const Time lost_at = context.state.worker_answers.lost_at;
-  return lost_at != Time::min() && context.now - lost_at < kLossyFor;
+  const Time lost_at = context.state.worker_responses.unanswered_at;
+  return lost_at != Time::min() && context.now - lost_at < kLossyPeriod;
 }
 
 // A silent worker may be one whose answers have become slow.
 Duration HoldSlack(const Context& context, const OwnedWorker& worker) {
   if (worker.claimed && !IsSilent(worker) &&
       (IsMissing(worker) || AnswersGetLost(context))) {
-    return context.state.worker_answers.time.Timeout(kLeastHoldSlack,
-                                                     kHoldSlack);
+    return context.state.worker_responses.response_time.Timeout(kMinPollSlack,
+                                                                kPollSlack);
   }
-  return kHoldSlack;
+  return kPollSlack;
 }
 
 // A poll without a wait shows whether a hold was lost or its worker is silent.
@@ -112,17 +112,17 @@
   if (worker.missed_since != Time(0)) {
     return Duration(0);
   }
-  return AnswersGetLost(context) ? kLossyHoldWait : kHoldWait;
+  return AnswersGetLost(context) ? kLossyPollWait : kPollWait;
 }
 
 // Renewed often enough that the next hold may get lost.
 void SendHold(Context& context, const std::string& id, OwnedWorker& worker) {
-  HoldWorker hold{.acknowledged = worker.acknowledged};
+  PollWorker hold{.acknowledged = worker.acknowledged};
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
       // Refused with this one already.
       WantRaise(context);
-      worker.hold_at = context.now + kHoldRetry;
+      worker.hold_at = context.now + kPollRetryDelay;
       return;
     }
     worker.fence = context.state.members.fence;
@@ -138,7 +138,7 @@
   }
   worker.hold_in_flight = true;
   worker.hold_sent = context.now;
-  ++context.state.totals.holds;
+  ++context.state.totals.polls;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
                           .request = hold,
@@ -149,16 +149,16 @@
 void SendProof(Context& context, const std::string& id, OwnedWorker& worker) {
   worker.proof_wanted = false;
   worker.proof_in_flight = true;
-  ++context.state.totals.holds;
+  ++context.state.totals.polls;
   context.Emit(
       CallWorker{.worker = id,
                  .address = worker.info.address,
-                 .request = HoldWorker{.fence = worker.fence,
+                 .request = PollWorker{.fence = worker.fence,
                                        .acknowledged = worker.acknowledged},
-                 .timeout = kHoldSlack});
+                 .timeout = kPollSlack});
 }
 
-bool IsProof(const HoldWorker& hold) {
+bool IsProof(const PollWorker& hold) {
   return hold.lease_until_ms == 0 && hold.wait == Duration(0);
 }
 
@@ -184,7 +184,7 @@
   const bool claimed_now = !worker.claimed;
   if (claimed_now) {
     worker.claimed = true;
-    context.state.gone.erase(id);
+    context.state.lost_workers.erase(id);
     worker.lease_bound = context.now + LeaseSpan(context);
     worker.foreign_bound = context.now;  // lower fences are refused from now on
     context.Log(EventNumber::kWorkerClaimed,
@@ -195,7 +195,7 @@
   }
   // A worker that was only polled needs its lease renewed at once.
   const bool renew_now = claimed_now || was_silent;
-  worker.hold_at = context.now + (renew_now ? Duration(0) : kHoldPause);
+  worker.hold_at = context.now + (renew_now ? Duration(0) : kPollInterval);
   ApplyListing(context, id, worker, done, asked);
   AnswerQuestions(context, id, worker);
   if (renew_now) {
@@ -206,8 +206,8 @@
 void OnProof(Context& context, const WorkerAnswered& event) {
   OwnedWorker& worker = context.state.owned.at(event.worker);
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    worker.proven = std::max(worker.proven, event.asked);
-    ApplyListing(context, event.worker, worker, *done, event.asked);
+    worker.proven = std::max(worker.proven, event.called_at);
+    ApplyListing(context, event.worker, worker, *done, event.called_at);
     AnswerQuestions(context, event.worker, worker);
     return;
   }
@@ -221,13 +221,14 @@
 
 // Announces to the peers that the worker is gone.
 void TellGone(Context& context, const std::string& id, std::uint64_t fence) {
-  context.state.gone[id] = GoneWorker{.fence = fence, .since = context.now};
+  context.state.lost_workers[id] =
+      GoneWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
 void ForgetGone(Context& context) {
-  std::erase_if(context.state.gone, [&](const auto& it) {
-    return HasPassed(context.now, it.second.since, kGoneTold);
+  std::erase_if(context.state.lost_workers, [&](const auto& it) {
+    return HasPassed(context.now, it.second.since, kLostWorkerAnnouncedFor);
   });
 }
 
@@ -237,10 +238,11 @@
       HasPassed(context.now, context.state.members.registered_at, kClaimDelay);
   // An instance that the store refuses may have been replaced in the list of
   // members, and may have given workers up to its successor.
-  if (!IsSurelyRegistered(context) || context.state.stop.asked || !settled) {
+  if (!IsSurelyRegistered(context) || context.state.stop.requested ||
+      !settled) {
     return;
   }
-  context.state.ownership_reviewed = context.now;
+  context.state.ownership_checked_at = context.now;
   for (const auto& [id, it] : context.state.workers) {
     const bool mine =
         ChooseMember(context.state, id, it.info.domain) == context.self();
@@ -253,13 +255,13 @@
 }  // namespace
 
 void ReviewOwnership(Context& context) {
-  context.state.ownership_reviewed = Time::min();
+  context.state.ownership_checked_at = Time::min();
 }
 
 void DriveWorkers(Context& context) {
   DropStaleClaims(context);
-  if (HasPassed(context.now, context.state.ownership_reviewed,
-                kOwnershipReview)) {
+  if (HasPassed(context.now, context.state.ownership_checked_at,
+                kOwnershipCheckInterval)) {
     ClaimOwn(context);
   }
   std::vector<std::string> gone;
@@ -288,13 +290,13 @@
 
 void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
   const auto it = context.state.owned.find(event.worker);
-  const auto& hold = std::get<HoldWorker>(event.request);
+  const auto& hold = std::get<PollWorker>(event.request);
   if (it == context.state.owned.end() || it->second.fence != hold.fence) {
     return;
   }
   OwnedWorker& worker = it->second;
   if (worker.claimed && worker.proof_in_flight && IsProof(hold) &&
-      event.asked != worker.hold_sent) {
+      event.called_at != worker.hold_sent) {
     worker.proof_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
       return OnProof(context, event);
@@ -307,10 +309,10 @@
     NoteResponse(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    OnHeld(context, event.worker, worker, *done, event.asked);
+    OnHeld(context, event.worker, worker, *done, event.called_at);
     return;
   }
-  worker.hold_at = context.now + kHoldRetry;
+  worker.hold_at = context.now + kPollRetryDelay;
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   const bool fenced =
       refused != nullptr && refused->kind == WorkerRefusalKind::kFenced;
@@ -323,7 +325,7 @@
              worker.missed_since == Time(0)) {
     worker.missed_since = worker.hold_sent;
     worker.hold_at = context.now;
-    context.state.worker_answers.lost_at = context.now;
+    context.state.worker_responses.unanswered_at = context.now;
     return;
   } else if (!IsSilent(worker)) {
     if (worker.missed_since == Time(0)) {
@@ -405,7 +407,7 @@
     TellGone(context, id, node.mapped().fence);
   }
   RoomView& view = context.state.view[id];
-  view.gone = true;
+  view.lost = true;
   view.accepting = false;
   OnWorkerLost(context, id);
 }
@@ -429,7 +431,7 @@
                   .yielding = YieldingRoom(worker),
                   .accepting = Accepts(context, worker),
                   .slowness = worker.speed.slowness(),
-                  .heard = context.now};
+                  .updated_at = context.now};
   context.state.placement_due = true;
 }
 
@@ -455,11 +457,11 @@
 }
 
 std::int64_t NextLease(Context& context, OwnedWorker& worker) {
-  const Duration max_hold = context.state.options.bounds.max_hold;
+  const Duration max_lease = context.state.options.bounds.max_lease;
   worker.lease_bound =
       std::max(worker.lease_bound, context.now + LeaseSpan(context));
   worker.lease_until_ms =
-      WorkerClock(context, worker) + ToMilliseconds(max_hold);
+      WorkerClock(context, worker) + ToMilliseconds(max_lease);
   return worker.lease_until_ms;
 }
 
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -23,16 +23,16 @@
 
 // Grows with each try: answers that have become slow are else never heard.
 Duration OrderTimeout(const Context& context, std::uint32_t tries) {
-  const Duration first = context.state.worker_answers.time.Timeout(
-      kLeastOrderTimeout, kOrderTimeout);
+  const Duration first = context.state.worker_responses.response_time.Timeout(
+      kMinCommandTimeout, kMaxCommandTimeout);
   return std::min(first * (1 << std::min(tries, kMostDoublings)),
-                  kOrderTimeout);
+                  kMaxCommandTimeout);
 }
 
 void NoteOrderAnswer(Context& context, const WorkerAnswered& event) {
-  WorkerAnswers& answers = context.state.worker_answers;
+  WorkerResponses& answers = context.state.worker_responses;
   if (std::holds_alternative<WorkerUnreached>(event.answer)) {
-    answers.lost_at = context.now;
+    answers.unanswered_at = context.now;
   } else {
     NoteResponse(context, event);
   }
@@ -162,11 +162,11 @@
               const std::string& task,
               LocalRun& run) {
   if (run.order_in_flight ||
-      !HasPassed(context.now, run.ordered, kOrderRetry)) {
+      !HasPassed(context.now, run.ordered, kCommandRetryDelay)) {
     return;
   }
   if (run.phase == RunPhase::kStarting) {
-    if (HasPassed(context.now, run.since, kStartPatience)) {
+    if (HasPassed(context.now, run.since, kStartTimeout)) {
       BeginRunStop(context, id, worker, task, run);
     } else {
       OrderStart(context, id, worker, task, run);
@@ -202,8 +202,8 @@
 }
 
 void NoteResponse(Context& context, const WorkerAnswered& event) {
-  ResponseTime& time = context.state.worker_answers.time;
-  time = time.With(context.now - event.asked);
+  ResponseTime& time = context.state.worker_responses.response_time;
+  time = time.With(context.now - event.called_at);
 }
 
 void EnterPhase(Context& context, LocalRun& run, RunPhase phase) {
@@ -332,7 +332,7 @@
   std::vector<std::string> expired;
   for (auto& [task, run] : worker.runs) {
     const bool booked = run.phase == RunPhase::kBooked;
-    if (booked && HasPassed(context.now, run.since, kBookingTime)) {
+    if (booked && HasPassed(context.now, run.since, kBookingTimeout)) {
       expired.push_back(task);
       continue;
     }
--- a/Source/runtime/engine_callers.cc
+++ b/Source/runtime/engine_callers.cc
@@ -22,11 +22,11 @@
   const std::uint64_t call = ++last_call_;
   Waiting& waiting = waiting_[call];
   waiting.responder = responder;
-  waiting.request.question = asked.question;
+  waiting.request.query = asked.query;
   waiting.request.queue = asked.queue;
   waiting.request.job = asked.job;
   options_.on_event(
-      engine::CallerAsked{.call = call, .request = std::move(asked)});
+      engine::CallerRequestReceived{.call = call, .request = std::move(asked)});
 }
 
 void EngineCallers::Answer(const engine::AnswerCaller& answer) {
--- a/Source/runtime/engine_clients.cc
+++ b/Source/runtime/engine_clients.cc
@@ -75,7 +75,7 @@
                   .worker = worker,
                   .request = request,
                   .answer = options_.codec.decode_worker(result),
-                  .asked = asked});
+                  .called_at = asked});
             });
 }
 
--- a/Source/runtime/engine_dump.cc
+++ b/Source/runtime/engine_dump.cc
@@ -141,7 +141,7 @@
   const engine::Totals& totals = state.totals;
   Raise(metrics, kPlatformCallsTotal, state.store.total_calls);
   Raise(metrics, kStartsTotal, totals.starts);
-  Raise(metrics, kHoldsTotal, totals.holds);
+  Raise(metrics, kHoldsTotal, totals.polls);
   Raise(metrics, kOffersTotal, totals.offers);
   Raise(metrics, kOffersRefusedTotal, totals.offers_refused);
   Raise(metrics, kSubmissionsTotal, totals.submitted);
--- a/Source/runtime/engine_instance.cc
+++ b/Source/runtime/engine_instance.cc
@@ -43,7 +43,7 @@
       peer_client_(io, options_.engine.self.incarnation),
       shell_(io, engine::MakeState(options_.engine), MakeHooks()),
       peer_server_({.on_message =
-                        [this](engine::PeerSaid it) {
+                        [this](engine::PeerMessageReceived it) {
                           shell_.Handle(std::move(it), peers_body_arrived_);
                         },
                     .log = [this](const LogLine& it) { logger_.Write(it); }}),
@@ -76,7 +76,7 @@
 void EngineInstance::Drain() {
   logger_.Write(
       {.number = EventNumber::kStopping, .fields = {{"cause", "signal"}}});
-  shell_.Handle(engine::StopAsked());
+  shell_.Handle(engine::StopRequested());
 }
 
 std::vector<HttpServer*> EngineInstance::servers() {
@@ -92,7 +92,7 @@
           [this](const engine::WriteLog& it) { logger_.Write(it.line); },
       .end_process = [this] { options_.on_drained(); },
       .note_span =
-          [this](const engine::NoteSpan& it) {
+          [this](const engine::RecordSpan& it) {
             switch (it.span) {
               case engine::MeasuredSpan::kStart:
                 return start_seconds_.Observe(InSeconds(it.took));
--- a/Source/runtime/engine_peers.h
+++ b/Source/runtime/engine_peers.h
@@ -55,7 +55,7 @@
 };
 
 struct EnginePeerServerOptions {
-  std::function<void(engine::PeerSaid)> on_message{};
+  std::function<void(engine::PeerMessageReceived)> on_message{};
   std::function<void(const LogLine&)> log{};
 };
 
--- a/Source/runtime/engine_shell.cc
+++ b/Source/runtime/engine_shell.cc
@@ -62,7 +62,7 @@
     }
     void operator()(const engine::SendPeer& it) { hooks.send_peer(it); }
     void operator()(const engine::WriteLog& it) { hooks.write_log(it); }
-    void operator()(const engine::NoteSpan& it) { hooks.note_span(it); }
+    void operator()(const engine::RecordSpan& it) { hooks.note_span(it); }
     void operator()(const engine::ApplyLimits& it) {
       hooks.edges.apply_limits(it);
     }
--- a/Source/runtime/engine_shell.h
+++ b/Source/runtime/engine_shell.h
@@ -29,7 +29,7 @@
   std::function<void(const engine::SendPeer&)> send_peer{};
   std::function<void(const engine::WriteLog&)> write_log{};
   std::function<void()> end_process{};
-  std::function<void(const engine::NoteSpan&)> note_span{};
+  std::function<void(const engine::RecordSpan&)> note_span{};
   std::function<void(Duration)> step_took{};
   // From an event's arrival to its step.
   std::function<void(Duration)> event_waited{};
--- a/Tests/bench/reducer_load.cc
+++ b/Tests/bench/reducer_load.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-using engine::CallerQuestion;
+using engine::CallerQuery;
 using engine::JobSpec;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -108,19 +108,20 @@
   const std::string path =
       fmt::format("/{}/job-of-a-caller-{:08}", relaxed ? kRelaxed : "q", jobs_);
   paths_.push_back(path);
-  fleet_.Ask(AnyNode(), {.question = CallerQuestion::kSubmit,
-                         .host = "h",
-                         .path = path,
-                         .spec = std::move(spec)});
+  fleet_.SendRequest(AnyNode(), {.query = CallerQuery::kSubmit,
+                                 .host = "h",
+                                 .path = path,
+                                 .spec = std::move(spec)});
 }
 
 // A caller asks for one of the last 200 jobs, which is five seconds of them.
 void ReducerLoad::Ask() {
   const auto n =
       static_cast<std::uint32_t>(std::min<std::size_t>(paths_.size(), 200));
-  fleet_.Ask(AnyNode(), {.question = CallerQuestion::kState,
-                         .host = "h",
-                         .path = paths_[paths_.size() - 1 - Pick(0, n - 1)]});
+  fleet_.SendRequest(AnyNode(),
+                     {.query = CallerQuery::kState,
+                      .host = "h",
+                      .path = paths_[paths_.size() - 1 - Pick(0, n - 1)]});
 }
 
 void ReducerLoad::Beat() {
--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -48,10 +48,10 @@
     JobSpec spec = OneStep(1, 100);
     spec.steps[0].lasting = lasting;
     submitted_[job] = {.at = fleet_.now(), .node = node};
-    fleet_.Ask(node, {.question = CallerQuestion::kSubmit,
-                      .host = "h",
-                      .path = fmt::format("/{}/{}", queue, job),
-                      .spec = spec});
+    fleet_.SendRequest(node, {.query = CallerQuery::kSubmit,
+                              .host = "h",
+                              .path = fmt::format("/{}/{}", queue, job),
+                              .spec = spec});
   }
 
   std::vector<Duration> Of(const std::string& queue) const {
@@ -125,7 +125,9 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(300)});
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(800); };
+  fleet.advice_duration = [](const AdviceRequest&) {
+    return milliseconds(800);
+  };
   std::string asker;
   std::string caller;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
@@ -150,9 +152,9 @@
       [&] { return fleet.state(asker).members.present.contains(later); },
       seconds(1)));
   fleet.Run(milliseconds(200));
-  const auto& questions = fleet.state(asker).advice.questions;
+  const auto& questions = fleet.state(asker).advice.queries;
   REQUIRE(questions.size() == 1);
-  CHECK(questions.begin()->second.asked > killed);
+  CHECK(questions.begin()->second.sent_at > killed);
 }
 
 // 18 instances lost power, and the others went on calling for them: the steps'
@@ -161,16 +163,16 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(500);
   };
   for (const char* it : {"j1.0.0", "j2.0.0"}) {
-    fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = 1,
-                         .step = it,
-                         .expected = milliseconds(500),
-                         .workers = {"w0-1"}});
+    fleet.DeliverPeerMessage("n0", "n1-1",
+                             AdviceAsk{.call = 1,
+                                       .step = it,
+                                       .expected = milliseconds(500),
+                                       .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(50));
   fleet.Kill("n1");
@@ -190,7 +192,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("u", 0, kShort);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     const AdvicePolicy& policy = it.step.starts_with("u") ? kShort : kLong;
     return policy.decision +
            policy.each * static_cast<std::int64_t>(it.workers.size());
@@ -231,7 +233,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("r", 2);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return kLong.decision +
            kLong.each * static_cast<std::int64_t>(it.workers.size());
   };
@@ -255,13 +257,15 @@
 TEST_CASE("A caller whose answers come late tells a longer wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
-  fleet.advice_takes = [&](const AdviceRequest&) { return milliseconds(600); };
+  fleet.advice_duration = [&](const AdviceRequest&) {
+    return milliseconds(600);
+  };
   for (std::uint64_t it = 0; it < 4; ++it) {
-    fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = it + 1,
-                         .step = fmt::format("j{}.0.0", it),
-                         .expected = milliseconds(40),
-                         .workers = {"w0-1"}});
+    fleet.DeliverPeerMessage("n0", "n1-1",
+                             AdviceAsk{.call = it + 1,
+                                       .step = fmt::format("j{}.0.0", it),
+                                       .expected = milliseconds(40),
+                                       .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(1300));  // two of them are answered
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) > milliseconds(800));
@@ -281,7 +285,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("l", 1);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return kLong.decision +
            kLong.each * static_cast<std::int64_t>(it.workers.size());
   };
@@ -306,12 +310,12 @@
   fleet.Settle();
   fleet.Run(milliseconds(300));
   const Time now = fleet.now();
-  fleet.Tell("n0", "n1-1",
-             AdviceReply{.call = 999,
-                         .wait = milliseconds(700),
-                         .urgent_wait = milliseconds(40)});
+  fleet.DeliverPeerMessage("n0", "n1-1",
+                           AdviceReply{.call = 999,
+                                       .wait = milliseconds(700),
+                                       .urgent_wait = milliseconds(40)});
   const AdviceState& advice = fleet.state("n0").advice;
-  CHECK(advice.heard.at("n1-1") >= now);
+  CHECK(advice.reported_at.at("n1-1") >= now);
   CHECK(advice.waits.at("n1-1") == milliseconds(700));
   CHECK(advice.urgent_waits.at("n1-1") == milliseconds(40));
 }
@@ -322,15 +326,15 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(20);
   };
-  fleet.Tell("n0", "n9-1",
-             AdviceAsk{.call = 1,
-                       .step = "j1.0.0",
-                       .expected = milliseconds(20),
-                       .workers = {"w0-1"}});
+  fleet.DeliverPeerMessage("n0", "n9-1",
+                           AdviceAsk{.call = 1,
+                                     .step = "j1.0.0",
+                                     .expected = milliseconds(20),
+                                     .workers = {"w0-1"}});
   fleet.Run(milliseconds(100));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j1.0.0");
 }
--- a/Tests/engine/advice_test.cc
+++ b/Tests/engine/advice_test.cc
@@ -70,7 +70,7 @@
   fleet.Run(seconds(6));
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 1);
   CHECK(CountRuns(fleet, "j1") == 31);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A job of one task had no run at all 48 s after it was accepted, with most of
@@ -116,17 +116,18 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(100);
   };
   for (std::uint64_t it = 0; it < 5; ++it) {
-    fleet.Tell("n0", "n1-1",
-               AdviceAsk{.call = it + 1,
-                         .step = "j" + std::to_string(it) + ".0.0",
-                         .expected = milliseconds(100),
-                         .patience = milliseconds(150),
-                         .workers = {"w0-1"}});
+    fleet.DeliverPeerMessage(
+        "n0", "n1-1",
+        AdviceAsk{.call = it + 1,
+                  .step = "j" + std::to_string(it) + ".0.0",
+                  .expected = milliseconds(100),
+                  .patience = milliseconds(150),
+                  .workers = {"w0-1"}});
   }
   fleet.Run(seconds(2));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j0.0.0 j1.0.0");
@@ -155,7 +156,7 @@
                                          .each = milliseconds(10),
                                          .valid = milliseconds(2000)}});
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return milliseconds(700) +
            milliseconds(10) * static_cast<std::int64_t>(it.workers.size());
   };
@@ -199,7 +200,7 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(1000)});
   std::vector<std::size_t> named;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     named.push_back(it.workers.size());
     return milliseconds(200) +
            milliseconds(3) * static_cast<std::int64_t>(it.workers.size());
@@ -254,7 +255,7 @@
   fleet.Settle();
   std::size_t calls = 0;
   Duration time{0};
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     const Duration takes =
         policy.decision +
         policy.each * static_cast<std::int64_t>(it.workers.size());
@@ -316,7 +317,7 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(6)});
   std::size_t calls = 0;
-  fleet.advice_takes = [&](const AdviceRequest&) {
+  fleet.advice_duration = [&](const AdviceRequest&) {
     ++calls;
     return milliseconds(600);
   };
@@ -335,7 +336,9 @@
   Fleet fleet({.workers = 12, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(500)});
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(300); };
+  fleet.advice_duration = [](const AdviceRequest&) {
+    return milliseconds(300);
+  };
   fleet.Submit("n0", "j1", Chain(2, 10));
   fleet.Run(milliseconds(1600));
   CHECK(CountEnds(fleet, RunEnd::kDone) == 20);
@@ -363,7 +366,7 @@
                                          .each = milliseconds(1),
                                          .valid = milliseconds(2500)}});
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(45); };
+  fleet.advice_duration = [](const AdviceRequest&) { return milliseconds(45); };
   fleet.allows = [](const std::string& step, const std::string& worker) {
     return std::hash<std::string>()(step + worker) % 10 < 7;
   };
@@ -413,7 +416,7 @@
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, "j1") == 10);
   std::size_t calls = 0;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     calls += it.step.starts_with("j2") ? 1 : 0;
     return milliseconds(700);
   };
--- a/Tests/engine/attempts_test.cc
+++ b/Tests/engine/attempts_test.cc
@@ -43,9 +43,10 @@
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") == 2; }, seconds(3)));
   const SeenRun first = fleet.seen.front();
-  fleet.order_fault = [&](const std::string&, const std::string& worker,
-                          const WorkerRequest&) {
-    return worker == NameOf(first) ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [&](const std::string&, const std::string& worker,
+                            const WorkerRequest&) {
+    return worker == NameOf(first) ? CommandFault::kUnreached
+                                   : CommandFault::kNone;
   };
   const std::string owner = OwnerOf(fleet, first.worker);
   fleet.Kill("n0");
@@ -53,8 +54,10 @@
     fleet.Kill(owner);
   }
   fleet.Run(seconds(8));
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(20));
   CHECK(CountRuns(fleet, "j1") == 3);
   CHECK(fleet.StateOf("n5", "j1") == JobState::kFailed);
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -50,9 +50,9 @@
 }
 
 void LoseWorkerOrders(Fleet& fleet, const std::string& worker) {
-  fleet.order_fault = [worker](const std::string&, const std::string& to,
-                               const WorkerRequest&) {
-    return to == worker ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [worker](const std::string&, const std::string& to,
+                                 const WorkerRequest&) {
+    return to == worker ? CommandFault::kUnreached : CommandFault::kNone;
   };
 }
 
@@ -177,23 +177,23 @@
   PlanAll(fleet, {.endless = true});
   std::string chosen;
   int tries = 0;
-  fleet.order_fault = [&](const std::string&, const std::string& worker,
-                          const WorkerRequest& request) {
+  fleet.command_fault = [&](const std::string&, const std::string& worker,
+                            const WorkerRequest& request) {
     if (!std::holds_alternative<StartRun>(request) ||
         (!chosen.empty() && worker != chosen)) {
-      return OrderFault::kNone;
+      return CommandFault::kNone;
     }
     chosen = worker;
     ++tries;
-    return tries == 1   ? OrderFault::kLate
-           : tries == 2 ? OrderFault::kUnhealthy
-                        : OrderFault::kNone;
+    return tries == 1   ? CommandFault::kLate
+           : tries == 2 ? CommandFault::kUnhealthy
+                        : CommandFault::kNone;
   };
   fleet.Submit("n0", "j1", OneStep(1));
   fleet.Run(seconds(6));
   REQUIRE(tries >= 2);
   CHECK(fleet.state("n0").jobs.at("j1").started);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
   CancelNow(fleet, "n0", "j1");
   fleet.Run(seconds(1));
   CHECK(IsGone(fleet, "j1"));
@@ -205,10 +205,10 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest& request) {
-    return std::holds_alternative<StartRun>(request) ? OrderFault::kLate
-                                                     : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest& request) {
+    return std::holds_alternative<StartRun>(request) ? CommandFault::kLate
+                                                     : CommandFault::kNone;
   };
   fleet.Submit("n0", "j1", OneStep(36));
   fleet.Run(milliseconds(300));
@@ -228,12 +228,12 @@
   const std::string owner = OwnerAt(fleet, "w0");
   const std::uint64_t fence = fleet.state(owner).owned.at("w0-1").fence;
   const std::string other = owner == "n1" ? "n2" : "n1";
-  fleet.Tell(owner, other + "-1",
-             TaskStops{.stops = {{.task = "j1.0.0.0",
-                                  .run = 1,
-                                  .worker = "w0-1",
-                                  .generation = 1}}});
-  fleet.Tell(
+  fleet.DeliverPeerMessage(owner, other + "-1",
+                           TaskStops{.stops = {{.task = "j1.0.0.0",
+                                                .run = 1,
+                                                .worker = "w0-1",
+                                                .generation = 1}}});
+  fleet.DeliverPeerMessage(
       owner, other + "-1",
       TaskOffer{.job = "j1",
                 .generation = 1,
@@ -357,7 +357,7 @@
   const std::uint64_t cancel = fleet.Cancel("n0", "j1");
   fleet.Run(seconds(2));
   REQUIRE(fleet.answers.contains(submit));
-  CHECK(std::holds_alternative<NotNow>(fleet.answers[submit]));
+  CHECK(std::holds_alternative<Unavailable>(fleet.answers[submit]));
   REQUIRE(fleet.answers.contains(cancel));
   CHECK(std::holds_alternative<NoSuchJob>(fleet.answers[cancel]));
 }
@@ -379,8 +379,9 @@
   };
   const std::uint64_t call = fleet.Cancel("n1", "j1");
   fleet.Run(milliseconds(10));
-  fleet.Tell("n1", "n2-1",
-             JobReply{.call = 1, .known = true, .state = JobState::kCancelled});
+  fleet.DeliverPeerMessage(
+      "n1", "n2-1",
+      JobReply{.call = 1, .known = true, .state = JobState::kCancelled});
   fleet.Run(milliseconds(500));
   CHECK_FALSE(fleet.answers.contains(call));
   CHECK_FALSE(IsGone(fleet, "j1"));
@@ -411,12 +412,12 @@
   Fleet fleet;
   BeginEndless(fleet);
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
-    return StoreFault::kSilent;
+    return StoreFault::kNoReply;
   };
   const std::uint64_t cancel = fleet.Cancel("n0", "j1");
   REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(cancel); },
                          seconds(2)));
-  CHECK(std::holds_alternative<NotKnown>(fleet.answers[cancel]));
+  CHECK(std::holds_alternative<OutcomeUnknown>(fleet.answers[cancel]));
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kNone;
   };
--- a/Tests/engine/chaos_test.cc
+++ b/Tests/engine/chaos_test.cc
@@ -51,13 +51,13 @@
       SubmitSome(it);
       SubmitLasting(it);
       CancelSome();
-      fleet_.late_by = milliseconds(
+      fleet_.late_delay = milliseconds(
           std::uniform_int_distribution<int>(500, 9000)(delay_random_));
       InjectFault();
       fleet_.Run(milliseconds(Pick(100, 900)));
     }
     ClearFaults();
-    fleet_.calm_since = fleet_.now();
+    fleet_.faults_ended_at = fleet_.now();
     fleet_.Run(seconds(40));
     CheckLasting();
     CancelLasting();
@@ -85,21 +85,21 @@
   void SetFaults() {
     fleet_.store_fault = [this](const std::string& node, const StoreRequest&) {
       if (store_fault_at_ == node || store_fault_at_ == "all") {
-        return store_unresponsive_ ? StoreFault::kSilent : StoreFault::kRefuse;
+        return store_unresponsive_ ? StoreFault::kNoReply : StoreFault::kRefuse;
       }
       return store_replies_lost_ && Pick(0, 3) == 0 ? StoreFault::kLoseAnswer
                                                     : StoreFault::kNone;
     };
-    fleet_.order_fault = [this](const std::string&, const std::string& worker,
-                                const WorkerRequest&) {
+    fleet_.command_fault = [this](const std::string&, const std::string& worker,
+                                  const WorkerRequest&) {
       if (worker == unreachable_worker_) {
-        return OrderFault::kUnreached;
+        return CommandFault::kUnreached;
       }
       if (commands_faulty_ && Pick(0, 9) == 0) {
-        return OrderFault::kLate;
+        return CommandFault::kLate;
       }
-      return commands_faulty_ && Pick(0, 9) == 0 ? OrderFault::kLoseAnswer
-                                                 : OrderFault::kNone;
+      return commands_faulty_ && Pick(0, 9) == 0 ? CommandFault::kLoseAnswer
+                                                 : CommandFault::kNone;
     };
     fleet_.is_cut = [this](const std::string& from, const std::string& to) {
       return from == unreachable_node_ || to == unreachable_node_;
@@ -117,12 +117,13 @@
                        .endless = lasts && chance != 0};
       };
     }
-    fleet_.order_fault = [this, orders = fleet_.order_fault](
-                             const std::string& node, const std::string& worker,
-                             const WorkerRequest& request) {
+    fleet_.command_fault = [this, orders = fleet_.command_fault](
+                               const std::string& node,
+                               const std::string& worker,
+                               const WorkerRequest& request) {
       const bool start = std::holds_alternative<StartRun>(request);
       return commands_faulty_ && start && Pick(0, 4) == 0
-                 ? OrderFault::kUnhealthy
+                 ? CommandFault::kUnhealthy
                  : orders(node, worker, request);
     };
     fleet_.is_cut = [this, cut = fleet_.is_cut](const std::string& from,
@@ -277,14 +278,14 @@
   }
 
   void CheckAll() {
-    CheckPromises(fleet_);
+    CheckInvariants(fleet_);
     for (const auto& it : calls_) {
       const std::string& job = it.first;
       const auto answer = fleet_.answers.find(it.second);
       const bool accepted = answer != fleet_.answers.end() &&
                             std::holds_alternative<JobAccepted>(answer->second);
       const bool refused = answer != fleet_.answers.end() &&
-                           std::holds_alternative<NotNow>(answer->second);
+                           std::holds_alternative<Unavailable>(answer->second);
       INFO("job " << job);
       if (accepted && cancel_requested_.contains(job)) {
         CheckCancelled(job);
--- a/Tests/engine/codec_test.cc
+++ b/Tests/engine/codec_test.cc
@@ -64,7 +64,7 @@
 
 TEST_CASE("Each call to a worker is read back as it was written") {
   const WorkerRequest requests[] = {
-      HoldWorker{.fence = 3,
+      PollWorker{.fence = 3,
                  .acknowledged = 2,
                  .lease_until_ms = 900,
                  .wait = milliseconds(1900)},
@@ -187,7 +187,7 @@
   const auto decoded = DecodeJobRequest(request);
   REQUIRE(std::holds_alternative<CallerRequest>(decoded));
   const auto& it = std::get<CallerRequest>(decoded);
-  CHECK(it.question == CallerQuestion::kSubmit);
+  CHECK(it.query == CallerQuery::kSubmit);
   CHECK(it.queue == "q");
   CHECK(it.job == "p-1");
   CHECK(it.spec.payload == "x");
@@ -218,17 +218,19 @@
 TEST_CASE("Callers hear whether a job may have run") {
   const CallerRequest asked{.queue = "q", .job = "p-1"};
   CHECK(EncodeJobAnswer(asked, JobAccepted{}).status == 202);
-  CHECK(Body(EncodeJobAnswer(asked, JobShown{.state = JobState::kRunning})) ==
+  CHECK(Body(EncodeJobAnswer(asked,
+                             JobStateFound{.state = JobState::kRunning})) ==
         R"({"id":"p-1","state":"running"})");
   CHECK(Body(EncodeJobAnswer(asked,
-                             CancelTaken{.state = JobState::kCompleted})) ==
+                             CancelAccepted{.state = JobState::kCompleted})) ==
         R"({"id":"p-1","state":"completed"})");
   const HttpResponse later = EncodeJobAnswer(
-      asked, NotNow{.detail = "the store", .retry_after = milliseconds(1200)});
+      asked,
+      Unavailable{.detail = "the store", .retry_after = milliseconds(1200)});
   CHECK(later.status == 503);
   CHECK(later.retry_after == std::chrono::seconds(2));
   CHECK(Body(later).find("\"not_run\"") != std::string::npos);
-  const HttpResponse unknown = EncodeJobAnswer(asked, NotKnown{});
+  const HttpResponse unknown = EncodeJobAnswer(asked, OutcomeUnknown{});
   CHECK(unknown.status == 504);
   CHECK(Body(unknown).find("may_have_run") != std::string::npos);
   CHECK(EncodeJobAnswer(asked, NoSuchJob{}).status == 404);
--- a/Tests/engine/notices_test.cc
+++ b/Tests/engine/condition_log_test.cc
@@ -1,6 +1,6 @@
 // Logs and counts of conditions that last: adoptions, claims, stops and
 // cancels.
-#include "engine/notices.h"
+#include "engine/condition_log.h"
 
 #include <algorithm>
 #include <string>
@@ -10,7 +10,7 @@
 
 #include "engine/fleet.h"
 #include "engine/jobs/open_work.h"
-#include "engine/reminders.h"
+#include "engine/log_repeat_limiter.h"
 
 namespace burdockrock::engine {
 
@@ -74,9 +74,9 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
   // The worker is lost together with its owner, which also owns the job.
-  fleet.order_fault = [](const std::string&, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w0" ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w0" ? CommandFault::kUnreached : CommandFault::kNone;
   };
   REQUIRE(KillOwner(fleet, "j1") == "n0");
   fleet.Run(seconds(12));
@@ -114,8 +114,10 @@
   CHECK(recovering == 1);
   CHECK(unanswered == 1);
 
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(3));
   const auto recovered = LinesOf(fleet, EventNumber::kJobRecovered);
   REQUIRE(recovered.size() == 1);
@@ -123,7 +125,7 @@
   CHECK(NumberOf(recovered[0], "after_ms") > 8000);
   CHECK(NumberOf(recovered[0], "found") + NumberOf(recovered[0], "to_start") ==
         12);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against tasks that wait without a logged cause. Tasks of a wide step
@@ -166,7 +168,7 @@
   CHECK(FieldOf(lines[0], "step").starts_with("j2.0.0"));
   CHECK(FieldOf(lines[0], "cause") == "room");
   CHECK(NumberOf(lines[0], "room") == 3);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against a wrong cause of a wait during recovery. A lasting task of an
@@ -181,9 +183,9 @@
   spec.steps[0].lasting = true;
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
-  fleet.order_fault = [](const std::string&, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w0" ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w0" ? CommandFault::kUnreached : CommandFault::kNone;
   };
   REQUIRE(KillOwner(fleet, "j1") == "n0");
   fleet.Run(seconds(8));
@@ -192,7 +194,7 @@
   for (const LogLine& it : lines) {
     CHECK(FieldOf(it, "cause") == "recovery");
   }
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("Logs an adoption without delay in one line") {
@@ -239,7 +241,7 @@
 
   const auto spans = [&](MeasuredSpan span) {
     std::vector<Duration> found;
-    for (const NoteSpan& it : fleet.spans) {
+    for (const RecordSpan& it : fleet.spans) {
       if (it.span == span) {
         found.push_back(it.took);
       }
@@ -266,13 +268,13 @@
   fleet.Run(seconds(1));
   const std::string unreachable = fleet.seen.front().worker;  // "w0-1"
   const std::string owner = OwnerOf(fleet, unreachable);
-  fleet.order_fault = [&unreachable](const std::string&,
-                                     const std::string& worker,
-                                     const WorkerRequest& request) {
+  fleet.command_fault = [&unreachable](const std::string&,
+                                       const std::string& worker,
+                                       const WorkerRequest& request) {
     return unreachable.starts_with(worker) &&
                    std::holds_alternative<StopRun>(request)
-               ? OrderFault::kUnreached
-               : OrderFault::kNone;
+               ? CommandFault::kUnreached
+               : CommandFault::kNone;
   };
   fleet.Cancel("n1", "j1");
   fleet.Run(seconds(6));
@@ -305,8 +307,10 @@
   CHECK(at_worker.stops_at_workers.count == of_job.stops_of_jobs.count);
   CHECK(at_worker.stops_at_workers.oldest > seconds(5));
 
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(2));
   late = LinesOf(fleet, EventNumber::kCancelLate);
   REQUIRE(late.size() == 3);
@@ -345,15 +349,17 @@
     "Logs once when a worker becomes unresponsive and once when it replies") {
   Fleet fleet;
   fleet.Settle();
-  fleet.order_fault = [](const std::string&, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w0" ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w0" ? CommandFault::kUnreached : CommandFault::kNone;
   };
   fleet.Run(seconds(6));
   CHECK(LinesOf(fleet, EventNumber::kWorkerSilent).size() == 1);
   CHECK(LinesOf(fleet, EventNumber::kWorkerBack).empty());
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(4));
   const auto back = LinesOf(fleet, EventNumber::kWorkerBack);
   REQUIRE(back.size() == 1);
@@ -382,7 +388,7 @@
 }
 
 TEST_CASE("Repeats a line at doubling pauses and limits the lines of a round") {
-  Reminders limiter;
+  LogRepeatLimiter limiter;
   std::vector<int> logged;
   for (int it = 0; it <= 40; ++it) {
     if (limiter.IsDue("a", seconds(100 + it), seconds(100))) {
@@ -396,7 +402,7 @@
   for (int it = 0; it < 100; ++it) {
     n += limiter.IsDue(std::to_string(it), seconds(200), seconds(100)) ? 1 : 0;
   }
-  CHECK(n == Reminders::kPerRound);
+  CHECK(n == LogRepeatLimiter::kMaxPerRound);
   limiter.EndRound();
   // The conditions that were not logged come next.
   CHECK(limiter.IsDue("99", seconds(200), seconds(100)));
--- a/Tests/engine/cut_domain_test.cc
+++ b/Tests/engine/cut_domain_test.cc
@@ -20,15 +20,15 @@
 // n0, w0 and w3 are one domain.
 void CutDomainA(Fleet& fleet) {
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
-    return node == "n0" ? StoreFault::kSilent : StoreFault::kNone;
+    return node == "n0" ? StoreFault::kNoReply : StoreFault::kNone;
   };
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return (from == "n0") != (to == "n0");
   };
-  fleet.order_fault = [](const std::string& node, const std::string& worker,
-                         const WorkerRequest&) {
-    return IsOfDomainA(worker) == (node == "n0") ? OrderFault::kNone
-                                                 : OrderFault::kUnreached;
+  fleet.command_fault = [](const std::string& node, const std::string& worker,
+                           const WorkerRequest&) {
+    return IsOfDomainA(worker) == (node == "n0") ? CommandFault::kNone
+                                                 : CommandFault::kUnreached;
   };
 }
 
@@ -37,8 +37,10 @@
     return StoreFault::kNone;
   };
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
 }
 
 // Guards against tasks that are offered to the owner of a worker for as long as
@@ -70,7 +72,7 @@
       fleet.seen.begin() + static_cast<std::ptrdiff_t>(seen), fleet.seen.end(),
       [](const SeenRun& it) { return IsOfDomainA(it.worker.substr(0, 2)); });
   CHECK(used_again);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against short jobs that end with a cut of a domain that they need not
--- a/Tests/engine/dead_worker_test.cc
+++ b/Tests/engine/dead_worker_test.cc
@@ -13,9 +13,9 @@
 using std::chrono::seconds;
 
 void CutOff(Fleet& fleet, const std::string& worker) {
-  fleet.order_fault = [worker](const std::string&, const std::string& name,
-                               const WorkerRequest&) {
-    return name == worker ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [worker](const std::string&, const std::string& name,
+                                 const WorkerRequest&) {
+    return name == worker ? CommandFault::kUnreached : CommandFault::kNone;
   };
 }
 
@@ -43,9 +43,9 @@
   fleet.Start("n0");
   fleet.Run(seconds(2));
   fleet.store.Remove("worker/w0-1");
-  fleet.Run(kBackAtWork - seconds(4));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  fleet.Run(kRestartBound - seconds(4));
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // A worker died and its owner was restarted after the worker's entry had left
@@ -68,8 +68,8 @@
   fleet.Start("n1");
   fleet.Run(seconds(7));
   CHECK(fleet.state("n2").jobs.contains(job));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // The owner of a dead worker knows what ran there. Of a job that had nothing
@@ -86,7 +86,7 @@
   fleet.StopPlanned("n1");
   fleet.Run(milliseconds(3500));
   CHECK(CountEnds(fleet, RunEnd::kDone) == 18);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Machines were taken away and their workers known to have ended. The list of
@@ -101,7 +101,7 @@
   Crash(fleet, "w0");
   const auto is_gone = [&] {
     const auto& view = fleet.state("n2").view;
-    return view.contains("w0-1") && view.at("w0-1").gone;
+    return view.contains("w0-1") && view.at("w0-1").lost;
   };
   fleet.store.Remove("worker/w0-1");
   REQUIRE(fleet.RunUntil(is_gone, seconds(20)));
@@ -118,7 +118,7 @@
                          seconds(4)));
   fleet.Run(seconds(1));
   CHECK_FALSE(fleet.state("n2").jobs.at(job).recovering);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A worker ended, its entry had left the list, and its owner lost power before
@@ -141,7 +141,7 @@
   // the registration.
   fleet.Run(milliseconds(1100));
   CHECK_FALSE(fleet.state("n2").jobs.at(job).recovering);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A member that still reaches the worker gives no word that its leases end: it
@@ -153,15 +153,15 @@
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
     return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [](const std::string& node, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w0" && node != "n0" ? OrderFault::kUnreached
-                                          : OrderFault::kNone;
+  fleet.command_fault = [](const std::string& node, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w0" && node != "n0" ? CommandFault::kUnreached
+                                          : CommandFault::kNone;
   };
   fleet.Run(seconds(14));
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CHECK(AtWork(fleet, job, "").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // A worker crashed behind a cut and another life of it came at its address.
@@ -179,7 +179,7 @@
   fleet.store.Remove("worker/w0-1");
   fleet.Run(seconds(3));
   PlanAll(fleet, {.endless = true});
-  const std::string job = JobFor(fleet, "n1");
+  const std::string job = JobAdoptedBy(fleet, "n1");
   fleet.Submit("n1", job, Lasting(kLastingTasks));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == kLastingTasks);
@@ -188,7 +188,7 @@
   fleet.store.Put("worker/w0-1", "w0|a|s|8000|0");
   fleet.Run(seconds(5));
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
   // A life that has ended is claimed once, not until its entry lapses.
   const auto claims = std::count_if(
       fleet.log.begin(), fleet.log.end(), [](const LogLine& line) {
--- a/Tests/engine/failure_test.cc
+++ b/Tests/engine/failure_test.cc
@@ -42,7 +42,7 @@
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(CountRuns(fleet, "j1") == 6);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a task that had ended done ran a second time.
@@ -53,10 +53,10 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(50)});
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest& request) {
-    return std::holds_alternative<StartRun>(request) ? OrderFault::kLoseAnswer
-                                                     : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest& request) {
+    return std::holds_alternative<StartRun>(request) ? CommandFault::kLoseAnswer
+                                                     : CommandFault::kNone;
   };
   fleet.Submit("n0", "j1", OneStep(4));
   fleet.Run(seconds(4));
@@ -88,7 +88,7 @@
   fleet.Kill("n0");
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: tasks of a cancelled job ran on for ever.
@@ -133,10 +133,10 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest& request) {
-    return std::holds_alternative<StopRun>(request) ? OrderFault::kUnreached
-                                                    : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest& request) {
+    return std::holds_alternative<StopRun>(request) ? CommandFault::kUnreached
+                                                    : CommandFault::kNone;
   };
   fleet.Submit("n0", "j1", OneStep(3));
   fleet.Run(seconds(1));
@@ -147,8 +147,10 @@
     fleet.Kill(it);
     fleet.Start(it);
   }
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(5));
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 3);
 }
@@ -164,12 +166,12 @@
   PlanAll(fleet, {.takes = seconds(5)});
   fleet.Submit("n0", "j1", Chain(2, 1));
   fleet.Run(milliseconds(500));
-  const std::uint64_t known = fleet.AskState("n1", "j1");
-  const std::uint64_t unknown = fleet.AskState("n1", "nobody");
+  const std::uint64_t known = fleet.QueryState("n1", "j1");
+  const std::uint64_t unknown = fleet.QueryState("n1", "nobody");
   fleet.Run(milliseconds(60));
   REQUIRE(fleet.answers.contains(known));
   CHECK(fleet.answers[known] ==
-        CallerAnswer(JobShown{.state = JobState::kRunning}));
+        CallerAnswer(JobStateFound{.state = JobState::kRunning}));
   REQUIRE(fleet.answers.contains(unknown));
   CHECK(std::holds_alternative<NoSuchJob>(fleet.answers[unknown]));
 }
@@ -186,11 +188,11 @@
     return node == "n1" ? StoreFault::kRefuse : StoreFault::kNone;
   };
   fleet.Run(seconds(2));
-  const std::uint64_t call = fleet.AskState("n1", "j1");
+  const std::uint64_t call = fleet.QueryState("n1", "j1");
   fleet.Run(milliseconds(100));
   REQUIRE(fleet.answers.contains(call));
   CHECK(fleet.answers[call] ==
-        CallerAnswer(JobShown{.state = JobState::kRunning}));
+        CallerAnswer(JobStateFound{.state = JobState::kRunning}));
 }
 
 // Symptom: callers were told "running" 2 ms before the end was known, and the
@@ -207,10 +209,10 @@
                fleet.now() >= fleet.seen.front().began + milliseconds(500);
       },
       seconds(3)));
-  const std::uint64_t call = fleet.AskState("n1", "j1");
+  const std::uint64_t call = fleet.QueryState("n1", "j1");
   fleet.Run(milliseconds(200));
   CHECK(fleet.answers[call] ==
-        CallerAnswer(JobShown{.state = JobState::kCompleted}));
+        CallerAnswer(JobStateFound{.state = JobState::kCompleted}));
 }
 
 // Symptom: instances held each other's workers after a common start.
@@ -245,7 +247,7 @@
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(CountRuns(fleet, "j1") == 12);
   CHECK(CountEnds(fleet, RunEnd::kDone) == 12);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a task ran again on a worker of an instance that had lost its job.
@@ -261,13 +263,14 @@
   fleet.Run(milliseconds(300));
   const std::string n0 = "n0-1";
   const std::string task = fleet.seen.front().task;
-  const std::uint64_t queries = fleet.CountReports();
-  fleet.Tell("n1", "n2-1",
-             AdoptQuery{.jobs = {{.job = "j1", .generation = 2}}});
-  fleet.Tell("n1", n0,
-             RunQueries{.runs = {{.task = task, .run = 9, .worker = "w1-1"}}});
+  const std::uint64_t queries = fleet.CountRunReports();
+  fleet.DeliverPeerMessage(
+      "n1", "n2-1", AdoptQuery{.jobs = {{.job = "j1", .generation = 2}}});
+  fleet.DeliverPeerMessage(
+      "n1", n0,
+      RunQueries{.runs = {{.task = task, .run = 9, .worker = "w1-1"}}});
   fleet.Run(milliseconds(200));
-  CHECK(fleet.CountReports() == queries);
+  CHECK(fleet.CountRunReports() == queries);
 }
 
 TEST_CASE("All instances lose power: nothing is lost and nothing doubled") {
@@ -295,7 +298,7 @@
     CHECK(fleet.StateOf("n0", "j" + std::to_string(it)) ==
           JobState::kCompleted);
   }
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: an outage of the store kills running work, or lets jobs be accepted
@@ -307,13 +310,13 @@
   fleet.Submit("n0", "j1", Chain(3, 3));
   fleet.Run(milliseconds(500));
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
-    return StoreFault::kSilent;
+    return StoreFault::kNoReply;
   };
   fleet.Run(seconds(3));
   const std::uint64_t refused = fleet.Submit("n1", "j2", OneStep(1));
   fleet.Run(milliseconds(50));
   REQUIRE(fleet.answers.contains(refused));
-  CHECK(std::holds_alternative<NotNow>(fleet.answers[refused]));
+  CHECK(std::holds_alternative<Unavailable>(fleet.answers[refused]));
   fleet.Run(seconds(5));
   CHECK(fleet.seen.size() == 9);  // all steps ran
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
@@ -323,7 +326,7 @@
   CHECK(fleet.StateOf("n2", "j1") == JobState::kCompleted);
   CHECK(CountRuns(fleet, "j1") == 9);
   CHECK(CountEnds(fleet, RunEnd::kDone) == 9);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: work moves between instances, and runs lapse, after an outage in
@@ -438,17 +441,17 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(1)});
-  fleet.order_fault = [](const std::string& node, const std::string&,
-                         const WorkerRequest& request) {
+  fleet.command_fault = [](const std::string& node, const std::string&,
+                           const WorkerRequest& request) {
     const bool start = std::holds_alternative<StartRun>(request);
-    return node == "n0" && start ? OrderFault::kLate : OrderFault::kNone;
+    return node == "n0" && start ? CommandFault::kLate : CommandFault::kNone;
   };
   fleet.Submit("n1", "j1", OneStep(12));
   fleet.Run(milliseconds(400));
   fleet.Kill("n0");
   fleet.Run(seconds(12));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: an instance that was paused goes on as if it owned what it did.
@@ -461,7 +464,7 @@
   fleet.Freeze("n0", seconds(5));
   fleet.Run(seconds(16));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A planned stop hands over jobs and workers, and no run ends by it") {
@@ -472,12 +475,12 @@
   fleet.Run(seconds(1));
   fleet.StopPlanned("n0");
   REQUIRE(fleet.RunUntil([&] { return !fleet.IsUp("n0"); }, seconds(5)));
-  const std::uint64_t call = fleet.AskState("n1", "j1");
+  const std::uint64_t call = fleet.QueryState("n1", "j1");
   fleet.Run(seconds(10));
   CHECK(fleet.answers.contains(call));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(CountEnds(fleet, RunEnd::kDone) == 12);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/fake_worker.cc
+++ b/Tests/engine/fake_worker.cc
@@ -77,7 +77,7 @@
   info_.id = new_id;
 }
 
-std::optional<WorkerAnswer> FakeWorker::Answer(Time now, const HoldWorker& it) {
+std::optional<WorkerAnswer> FakeWorker::Answer(Time now, const PollWorker& it) {
   if (IsFenced(it.fence)) {
     return WorkerRefused{.kind = WorkerRefusalKind::kFenced};
   }
--- a/Tests/engine/fake_worker.h
+++ b/Tests/engine/fake_worker.h
@@ -87,7 +87,7 @@
 
   std::uint32_t PercentOf(const Run& run, Time now) const;
 
-  std::optional<WorkerAnswer> Answer(Time now, const HoldWorker& it);
+  std::optional<WorkerAnswer> Answer(Time now, const PollWorker& it);
   std::optional<WorkerAnswer> Answer(Time now, const StartRun& it);
   std::optional<WorkerAnswer> Answer(Time now, const StopRun& it);
   std::optional<WorkerAnswer> Answer(Time now, const PaceRun& it);
