--- a/Tests/engine/fleet.cc
+++ b/Tests/engine/fleet.cc
@@ -140,21 +140,21 @@
 }
 
 void Fleet::Kill(const std::string& node) {
-  ++nodes_.at(node).life;
+  ++nodes_.at(node).incarnation;
   nodes_.at(node).state.reset();
 }
 
 void Fleet::Start(const std::string& name) {
   Node& node = nodes_.at(name);
-  ++node.life;
+  ++node.incarnation;
   EngineOptions options{
-      .self = {.incarnation = fmt::format("{}-{}", name, node.life),
+      .self = {.incarnation = fmt::format("{}-{}", name, node.incarnation),
                .node = name,
                .domain = node.domain,
                .address = node.address},
       .bounds = {.state_kept = options_.state_kept,
                  .store_writes = options_.store_writes},
-      .seed = options_.seed + node.life};
+      .seed = options_.seed + node.incarnation};
   options.documents.decode_worker = ReadWorker;
   options.documents.decode_configuration =
       [this](std::string_view) -> std::variant<Configuration, DocumentFault> {
@@ -168,9 +168,9 @@
   };
   node.state = std::make_unique<State>(MakeState(std::move(options)));
   node.armed_for = kForever;
-  Deliver(name, node.life, Started());
+  Deliver(name, node.incarnation, Started());
   if (!options_.timers) {
-    Tick(name, node.life);
+    Tick(name, node.incarnation);
   }
 }
 
@@ -183,14 +183,14 @@
 }
 
 void Fleet::Slow(const std::string& node, Duration each) {
-  nodes_.at(node).each = each;
+  nodes_.at(node).event_cost = each;
 }
 
-void Fleet::Tell(const std::string& node,
-                 const std::string& from,
-                 PeerMessage message) {
-  Deliver(node, nodes_.at(node).life,
-          PeerSaid{.from = from, .message = std::move(message)});
+void Fleet::DeliverPeerMessage(const std::string& node,
+                               const std::string& from,
+                               PeerMessage message) {
+  Deliver(node, nodes_.at(node).incarnation,
+          PeerMessageReceived{.from = from, .message = std::move(message)});
 }
 
 void Fleet::SetQueue(const QueuePolicy& queue) {
@@ -237,38 +237,40 @@
 }
 
 void Fleet::Deliver(const std::string& name,
-                    std::uint64_t life,
+                    std::uint64_t incarnation,
                     EventBody body) {
   Node& node = nodes_.at(name);
-  if (node.life != life || !node.state) {
+  if (node.incarnation != incarnation || !node.state) {
     return;
   }
   if (node.frozen_until > now_) {
-    return At(node.frozen_until, [this, name, life, body = std::move(body)] {
-      Deliver(name, life, body);
-    });
+    return At(node.frozen_until,
+              [this, name, incarnation, body = std::move(body)] {
+                Deliver(name, incarnation, body);
+              });
   }
   if (node.busy_until > now_) {
-    return At(node.busy_until, [this, name, life, body = std::move(body)] {
-      Deliver(name, life, body);
-    });
+    return At(node.busy_until,
+              [this, name, incarnation, body = std::move(body)] {
+                Deliver(name, incarnation, body);
+              });
   }
-  node.busy_until = now_ + node.each;
+  node.busy_until = now_ + node.event_cost;
   const Effects effects = step(name, *node.state,
                                Event{.now = now_,
                                      .wall_ms = ToMilliseconds(now_),
                                      .body = std::move(body)});
   for (const Effect& it : effects) {
-    CarryOut(name, it);
+    ApplyEffect(name, it);
   }
   if (options_.timers) {
-    ArmTimer(name, life);
+    ArmTimer(name, incarnation);
   }
 }
 
-void Fleet::ArmTimer(const std::string& name, std::uint64_t life) {
+void Fleet::ArmTimer(const std::string& name, std::uint64_t incarnation) {
   Node& node = nodes_.at(name);
-  if (node.life != life || !node.state) {
+  if (node.incarnation != incarnation || !node.state) {
     return;
   }
   const Time next = NextTime(*node.state, now_);
@@ -276,50 +278,54 @@
     return;
   }
   node.armed_for = next;
-  At(next, [this, name, life, next] {
+  At(next, [this, name, incarnation, next] {
     Node& it = nodes_.at(name);
-    if (it.life == life && it.armed_for == next) {
+    if (it.incarnation == incarnation && it.armed_for == next) {
       it.armed_for = kForever;
-      Deliver(name, life, TimePassed());
+      Deliver(name, incarnation, TimePassed());
     }
   });
 }
 
-void Fleet::Tick(const std::string& name, std::uint64_t life) {
-  At(now_ + kCheckInterval / 2, [this, name, life] {
+void Fleet::Tick(const std::string& name, std::uint64_t incarnation) {
+  At(now_ + kCheckInterval / 2, [this, name, incarnation] {
     const Node& node = nodes_.at(name);
-    if (node.life == life && node.state) {
+    if (node.incarnation == incarnation && node.state) {
       if (node.busy_until <= now_) {
-        Deliver(name, life, TimePassed());
+        Deliver(name, incarnation, TimePassed());
       }
-      Tick(name, life);
+      Tick(name, incarnation);
     }
   });
 }
 
-void Fleet::CarryOut(const std::string& node, const Effect& effect) {
+void Fleet::ApplyEffect(const std::string& node, const Effect& effect) {
   struct Visitor {
     Fleet& fleet;
     const std::string& node;
-    void operator()(const AnswerCaller& it) { fleet.NoteAnswer(node, it); }
-    void operator()(const CallStore& it) { fleet.CallTheStore(node, it); }
-    void operator()(const CallWorker& it) { fleet.CallTheWorker(node, it); }
-    void operator()(const CallAdvice& it) { fleet.CallTheAdvice(node, it); }
-    void operator()(const CallMachines& it) { fleet.CallTheMachines(node, it); }
-    void operator()(const SendPeer& it) { fleet.SendThePeer(node, it); }
+    void operator()(const AnswerCaller& it) { fleet.RecordAnswer(node, it); }
+    void operator()(const CallStore& it) { fleet.HandleStoreCall(node, it); }
+    void operator()(const CallWorker& it) { fleet.HandleWorkerCall(node, it); }
+    void operator()(const CallAdvice& it) { fleet.HandleAdviceCall(node, it); }
+    void operator()(const CallMachines& it) {
+      fleet.HandleMachineCall(node, it);
+    }
+    void operator()(const SendPeer& it) { fleet.HandlePeerSend(node, it); }
     void operator()(const WriteLog& it) { fleet.log.push_back(it.line); }
-    void operator()(const NoteSpan& it) { fleet.spans.push_back(it); }
+    void operator()(const RecordSpan& it) { fleet.spans.push_back(it); }
     void operator()(const ApplyLimits&) {}
     void operator()(const EndProcess&) { fleet.EndWhenAnswered(node); }
   };
   std::visit(Visitor{*this, node}, effect);
 }
 
-void Fleet::CallTheStore(const std::string& node, const CallStore& call) {
-  const std::uint64_t life = nodes_.at(node).life;
+void Fleet::HandleStoreCall(const std::string& node, const CallStore& call) {
+  const std::uint64_t incarnation = nodes_.at(node).incarnation;
   const StoreFault fault = store_fault(node, call.request);
-  const auto answer = [this, node, life, id = call.call](StoreAnswer it) {
-    Deliver(node, life, StoreAnswered{.call = id, .answer = std::move(it)});
+  const auto answer = [this, node, incarnation,
+                       id = call.call](StoreAnswer it) {
+    Deliver(node, incarnation,
+            StoreAnswered{.call = id, .answer = std::move(it)});
   };
   if (fault == StoreFault::kRefuse) {
     return At(now_ + 2 * kStoreLatency,
@@ -329,12 +335,12 @@
     At(now_ + call.timeout,
        [answer] { answer(StoreUnknown{.detail = "no answer"}); });
   }
-  if (fault == StoreFault::kSilent) {
+  if (fault == StoreFault::kNoReply) {
     return;
   }
-  At(now_ + kStoreLatency, [this, node, life, call, answer, fault] {
+  At(now_ + kStoreLatency, [this, node, incarnation, call, answer, fault] {
     if (const auto* watch = std::get_if<StoreWatch>(&call.request)) {
-      return AnswerWatch(node, life, call, now_ + watch->wait);
+      return AnswerWatch(node, incarnation, call, now_ + watch->wait);
     }
     const auto result = store.Handle(now_, call.request);
     if (fault == StoreFault::kNone) {
@@ -344,7 +350,7 @@
 }
 
 void Fleet::AnswerWatch(const std::string& node,
-                        std::uint64_t life,
+                        std::uint64_t incarnation,
                         const CallStore& call,
                         Time until) {
   auto result = store.Handle(now_, call.request);
@@ -352,63 +358,66 @@
     result = StoreDone{.revision = std::get<StoreWatch>(call.request).after};
   }
   if (!result) {
-    return At(now_ + kCheckInterval, [this, node, life, call, until] {
-      AnswerWatch(node, life, call, until);
+    return At(now_ + kCheckInterval, [this, node, incarnation, call, until] {
+      AnswerWatch(node, incarnation, call, until);
     });
   }
-  At(now_ + kStoreLatency, [this, node, life, call, result] {
-    Deliver(node, life, StoreAnswered{.call = call.call, .answer = *result});
+  At(now_ + kStoreLatency, [this, node, incarnation, call, result] {
+    Deliver(node, incarnation,
+            StoreAnswered{.call = call.call, .answer = *result});
   });
 }
 
-void Fleet::CallTheWorker(const std::string& node, const CallWorker& call) {
-  const std::uint64_t life = nodes_.at(node).life;
+void Fleet::HandleWorkerCall(const std::string& node, const CallWorker& call) {
+  const std::uint64_t incarnation = nodes_.at(node).incarnation;
   FakeWorker* target = FindWorkerAt(call.address);
-  const OrderFault fault = target == nullptr || silent_.contains(call.address)
-                               ? OrderFault::kUnreached
-                               : order_fault(node, call.address, call.request);
+  const CommandFault fault =
+      target == nullptr || unresponsive_.contains(call.address)
+          ? CommandFault::kUnreached
+          : command_fault(node, call.address, call.request);
   const Time asked = now_;
-  const auto answer = [this, node, life, call, asked](WorkerAnswer it) {
-    Deliver(node, life,
+  const auto answer = [this, node, incarnation, call, asked](WorkerAnswer it) {
+    Deliver(node, incarnation,
             WorkerAnswered{.worker = call.worker,
                            .request = call.request,
                            .answer = std::move(it),
-                           .asked = asked});
+                           .called_at = asked});
   };
-  if (fault == OrderFault::kUnhealthy) {
-    return At(now_ + 2 * worker_way, [answer] {
+  if (fault == CommandFault::kUnhealthy) {
+    return At(now_ + 2 * worker_latency, [answer] {
       answer(WorkerRefused{.kind = WorkerRefusalKind::kUnhealthy});
     });
   }
-  if (fault != OrderFault::kNone) {
+  if (fault != CommandFault::kNone) {
     At(now_ + call.timeout, [answer] { answer(WorkerUnreached()); });
   }
-  if (fault == OrderFault::kUnreached) {
+  if (fault == CommandFault::kUnreached) {
     return;
   }
-  const Duration way = fault == OrderFault::kLate ? late_by : worker_way;
-  At(now_ + way, [this, node, life, call, asked, answer, fault, target] {
+  const Duration way =
+      fault == CommandFault::kLate ? late_delay : worker_latency;
+  At(now_ + way, [this, node, incarnation, call, asked, answer, fault, target] {
     if (target->info().id != call.worker) {
       return answer(WorkerRefused{.kind = WorkerRefusalKind::kReplaced});
     }
-    const auto* hold = std::get_if<HoldWorker>(&call.request);
-    if (hold != nullptr && fault == OrderFault::kNone) {
-      return AnswerHold(node, life, call, asked, now_ + hold->wait);
+    const auto* hold = std::get_if<PollWorker>(&call.request);
+    if (hold != nullptr && fault == CommandFault::kNone) {
+      return AnswerPoll(node, incarnation, call, asked, now_ + hold->wait);
     }
     const auto result = target->Handle(now_, call.request);
-    if (fault == OrderFault::kNone) {
+    if (fault == CommandFault::kNone) {
       AnswerInTime(asked + call.timeout, *result, answer);
     }
   });
 }
 
-void Fleet::AnswerHold(const std::string& node,
-                       std::uint64_t life,
+void Fleet::AnswerPoll(const std::string& node,
+                       std::uint64_t incarnation,
                        const CallWorker& call,
                        Time asked,
                        Time until) {
   FakeWorker* target = FindWorkerAt(call.address);
-  HoldWorker hold = std::get<HoldWorker>(call.request);
+  PollWorker hold = std::get<PollWorker>(call.request);
   std::optional<WorkerAnswer> result;
   if (target->info().id != call.worker) {
     result = WorkerRefused{.kind = WorkerRefusalKind::kReplaced};
@@ -417,42 +426,43 @@
     result = target->Handle(now_, hold);
   }
   if (!result) {
-    return At(now_ + kCheckInterval, [this, node, life, call, asked, until] {
-      AnswerHold(node, life, call, asked, until);
-    });
+    return At(now_ + kCheckInterval,
+              [this, node, incarnation, call, asked, until] {
+                AnswerPoll(node, incarnation, call, asked, until);
+              });
   }
   AnswerInTime(asked + call.timeout, *result,
-               [this, node, life, call, asked](WorkerAnswer it) {
-                 Deliver(node, life,
+               [this, node, incarnation, call, asked](WorkerAnswer it) {
+                 Deliver(node, incarnation,
                          WorkerAnswered{.worker = call.worker,
                                         .request = call.request,
                                         .answer = std::move(it),
-                                        .asked = asked});
+                                        .called_at = asked});
                });
 }
 
 void Fleet::AnswerInTime(Time deadline,
                          const WorkerAnswer& result,
                          const std::function<void(WorkerAnswer)>& answer) {
-  const Time at = now_ + worker_way;
+  const Time at = now_ + worker_latency;
   if (at <= deadline) {
     return At(at, [answer, result] { answer(result); });
   }
   At(std::max(now_, deadline), [answer] { answer(WorkerUnreached()); });
 }
 
-void Fleet::SendThePeer(const std::string& node, const SendPeer& send) {
-  reports_ += std::holds_alternative<RunReports>(send.message) ? 1 : 0;
+void Fleet::HandlePeerSend(const std::string& node, const SendPeer& send) {
+  run_reports_ += std::holds_alternative<RunReports>(send.message) ? 1 : 0;
   on_peer(node, send);
   if (is_cut(node, send.address)) {
     return;
   }
   const State& from = *nodes_.at(node).state;
   const std::string sender = from.options.self.incarnation;
-  const std::uint64_t life = nodes_.at(send.address).life;
-  At(now_ + kPeerLatency, [this, send, sender, life] {
-    Deliver(send.address, life,
-            PeerSaid{.from = sender, .message = send.message});
+  const std::uint64_t incarnation = nodes_.at(send.address).incarnation;
+  At(now_ + kPeerLatency, [this, send, sender, incarnation] {
+    Deliver(send.address, incarnation,
+            PeerMessageReceived{.from = sender, .message = send.message});
   });
 }
 
@@ -485,7 +495,7 @@
 namespace {
 
 void CheckCancels(const Fleet& fleet) {
-  if (fleet.calm_since == kForever) {
+  if (fleet.faults_ended_at == kForever) {
     return;
   }
   for (const SeenRun& it : fleet.seen) {
@@ -494,7 +504,8 @@
       continue;
     }
     const Time ended_by =
-        std::max(job->second, fleet.calm_since + kReconnectTime) + kCancelBound;
+        std::max(job->second, fleet.faults_ended_at + kReconnectTime) +
+        kCancelBound;
     INFO("task " << it.task << " run " << it.run << " on " << it.worker);
     CHECK(std::min(it.ended, fleet.now()) <= ended_by);
   }
@@ -502,7 +513,7 @@
 
 }  // namespace
 
-void CheckPromises(Fleet& fleet) {
+void CheckInvariants(Fleet& fleet) {
   for (const std::string& it : fleet.worker_names()) {
     fleet.worker(it).Advance(fleet.now());
     CHECK(fleet.worker(it).peak() <=
--- a/Tests/engine/fleet.h
+++ b/Tests/engine/fleet.h
@@ -25,15 +25,15 @@
 enum class StoreFault {
   kNone,
   kRefuse,
-  kSilent,      // no effect and no reply
+  kNoReply,     // no effect and no reply
   kLoseAnswer,  // takes effect without a reply
 };
 // Faults of calls to workers.
-enum class OrderFault {
+enum class CommandFault {
   kNone,
   kUnreached,   // the call does not arrive
   kLoseAnswer,  // takes effect without a reply
-  kLate,        // takes effect `late_by` later, without a reply
+  kLate,        // takes effect `late_delay` later, without a reply
   kUnhealthy,   // the worker refuses as unhealthy
 };
 
@@ -79,11 +79,11 @@
   void Freeze(const std::string& node, Duration span);
 
   // Returns the number of the call. Its reply appears in `answers`.
-  std::uint64_t Ask(const std::string& node, CallerRequest request);
+  std::uint64_t SendRequest(const std::string& node, CallerRequest request);
   std::uint64_t Submit(const std::string& node,
                        const std::string& job,
                        JobSpec spec);
-  std::uint64_t AskState(const std::string& node, const std::string& job);
+  std::uint64_t QueryState(const std::string& node, const std::string& job);
   std::uint64_t Cancel(const std::string& node, const std::string& job);
 
   // Queries the state of the job and waits 3 s for the reply.
@@ -91,12 +91,12 @@
                                   const std::string& job);
 
   // Delivers a message as if the member `from` had sent it.
-  void Tell(const std::string& node,
-            const std::string& from,
-            PeerMessage message);
+  void DeliverPeerMessage(const std::string& node,
+                          const std::string& from,
+                          PeerMessage message);
 
   // Number of RunReports that instances have sent to each other.
-  std::uint64_t CountReports() const { return reports_; }
+  std::uint64_t CountRunReports() const { return run_reports_; }
 
   void AddWorkers(std::size_t count);
 
@@ -108,14 +108,14 @@
 
   // Writes a wave of upkeep as operators do. A machine has the name of its
   // worker's address.
-  void AskForWave(Wave wave);
+  void RequestWave(Wave wave);
   // Adds machines that are off until they are moved to another pool.
   void AddStandby(std::size_t count);
   std::size_t moves = 0;
-  std::vector<std::string> upkeeps{};  // machines taken down, in order
-  std::size_t most_down = 0;           // largest number down at the same time
+  std::vector<std::string> taken_down{};  // machines taken down, in order
+  std::size_t most_down = 0;  // largest number down at the same time
   // Number of BeginUpkeep commands still to come whose reply is lost.
-  int lose_machine_answers = 0;
+  int lost_machine_replies = 0;
 
   // Sets the time that the instance takes for each event. Others wait
   // meanwhile.
@@ -130,35 +130,35 @@
   // By job: when its cancel was first acknowledged as kCancelled.
   std::map<std::string, Time> cancelled{};
   // When the last fault ended; kForever: faults may still occur.
-  Time calm_since = kForever;
-  // Delay of commands with OrderFault::kLate.
-  Duration late_by = std::chrono::milliseconds(3000);
+  Time faults_ended_at = kForever;
+  // Delay of commands with CommandFault::kLate.
+  Duration late_delay = std::chrono::milliseconds(3000);
   // One-way latency between instances and workers.
-  Duration worker_way = std::chrono::milliseconds(1);
+  Duration worker_latency = std::chrono::milliseconds(1);
 
   FakeStore store{};
   std::vector<SeenRun> seen{};  // all runs at the workers
   std::map<std::uint64_t, CallerAnswer> answers{};
   std::vector<LogLine> log{};
-  std::vector<NoteSpan> spans{};
+  std::vector<RecordSpan> spans{};
 
   std::function<StoreFault(const std::string& node, const StoreRequest&)>
       store_fault = [](const std::string&, const StoreRequest&) {
         return StoreFault::kNone;
       };
-  std::function<OrderFault(const std::string& node,
-                           const std::string& worker,
-                           const WorkerRequest&)>
-      order_fault = [](const std::string&,
-                       const std::string&,
-                       const WorkerRequest&) { return OrderFault::kNone; };
+  std::function<CommandFault(const std::string& node,
+                             const std::string& worker,
+                             const WorkerRequest&)>
+      command_fault = [](const std::string&,
+                         const std::string&,
+                         const WorkerRequest&) { return CommandFault::kNone; };
   std::function<bool(const std::string& from, const std::string& to)> is_cut =
       [](const std::string&, const std::string&) { return false; };
   // Whether the advice service allows a step (StepName) on a worker.
   std::function<bool(const std::string& step, const std::string& worker)>
       allows = [](const std::string&, const std::string&) { return true; };
   // Time that the advice service takes for a call.
-  std::function<Duration(const AdviceRequest&)> advice_takes =
+  std::function<Duration(const AdviceRequest&)> advice_duration =
       [](const AdviceRequest&) { return std::chrono::milliseconds(20); };
   // Handles an event of an instance. Tests replace it to measure the steps.
   std::function<
@@ -174,10 +174,10 @@
   struct Node {
     std::string domain{};
     std::string address{};
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::unique_ptr<State> state{};
     Time frozen_until{0};
-    Duration each{0};
+    Duration event_cost{0};
     Time busy_until{0};
     Time armed_for = kForever;
     std::set<std::uint64_t> unanswered{};  // requests of callers
@@ -194,24 +194,26 @@
   };
 
   void At(Time at, std::function<void()> run);
-  void Deliver(const std::string& node, std::uint64_t life, EventBody body);
-  void CarryOut(const std::string& node, const Effect& effect);
-  void NoteAnswer(const std::string& node, const AnswerCaller& it);
+  void Deliver(const std::string& node,
+               std::uint64_t incarnation,
+               EventBody body);
+  void ApplyEffect(const std::string& node, const Effect& effect);
+  void RecordAnswer(const std::string& node, const AnswerCaller& it);
   void EndWhenAnswered(const std::string& node);
-  void CallTheStore(const std::string& node, const CallStore& call);
-  void CallTheWorker(const std::string& node, const CallWorker& call);
-  void CallTheAdvice(const std::string& node, const CallAdvice& call);
-  void CallTheMachines(const std::string& node, const CallMachines& call);
-  MachineAnswer ListTheMachines() const;
+  void HandleStoreCall(const std::string& node, const CallStore& call);
+  void HandleWorkerCall(const std::string& node, const CallWorker& call);
+  void HandleAdviceCall(const std::string& node, const CallAdvice& call);
+  void HandleMachineCall(const std::string& node, const CallMachines& call);
+  MachineAnswer ListAllMachines() const;
   MachineAnswer Move(const MoveMachine& order);
   MachineAnswer TakeDown(const BeginUpkeep& order);
-  void SendThePeer(const std::string& node, const SendPeer& send);
+  void HandlePeerSend(const std::string& node, const SendPeer& send);
   void AnswerWatch(const std::string& node,
-                   std::uint64_t life,
+                   std::uint64_t incarnation,
                    const CallStore& call,
                    Time until);
-  void AnswerHold(const std::string& node,
-                  std::uint64_t life,
+  void AnswerPoll(const std::string& node,
+                  std::uint64_t incarnation,
                   const CallWorker& call,
                   Time asked,
                   Time until);
@@ -221,14 +223,14 @@
                     const std::function<void(WorkerAnswer)>& answer);
   void ListWorker(const FakeWorker& worker);
   FakeWorker* FindWorkerAt(const std::string& address);
-  void Tick(const std::string& node, std::uint64_t life);
-  void ArmTimer(const std::string& node, std::uint64_t life);
+  void Tick(const std::string& node, std::uint64_t incarnation);
+  void ArmTimer(const std::string& node, std::uint64_t incarnation);
 
   FleetOptions options_;
   Time now_ = std::chrono::seconds(1000);
   std::uint64_t last_number_ = 0;
   std::uint64_t last_call_ = 0;
-  std::uint64_t reports_ = 0;
+  std::uint64_t run_reports_ = 0;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> queue_;
   std::map<std::string, Node> nodes_;
   std::map<std::string, std::unique_ptr<FakeWorker>> workers_;
@@ -237,7 +239,8 @@
   std::map<std::uint64_t, std::string> cancel_calls_;  // the job, by call
   std::map<std::string, Time> down_until_;
   std::map<std::string, std::uint64_t> machine_fences_;
-  std::set<std::string> silent_;  // addresses of workers that do not reply
+  std::set<std::string>
+      unresponsive_;  // addresses of workers that do not reply
 };
 
 // A job of one step of equal tasks.
@@ -253,7 +256,7 @@
 // none starts after its end `done` was acknowledged, no worker is given more
 // than its capacity, and without faults no run of a cancelled job continues for
 // more than 3.4 s after the acknowledgement.
-void CheckPromises(Fleet& fleet);
+void CheckInvariants(Fleet& fleet);
 
 // Sets the plan for all tasks at all workers.
 void PlanAll(Fleet& fleet, const RunPlan& plan);
--- a/Tests/engine/fleet_machines.cc
+++ b/Tests/engine/fleet_machines.cc
@@ -28,20 +28,21 @@
   }
 }
 
-void Fleet::AskForWave(Wave wave) {
+void Fleet::RequestWave(Wave wave) {
   wave_ = std::move(wave);
   store.Put("operator/wave/" + std::to_string(wave_.number), "wave");
 }
 
-void Fleet::CallTheMachines(const std::string& node, const CallMachines& call) {
-  const std::uint64_t life = nodes_.at(node).life;
-  const auto answer = [this, node, life, call](MachineAnswer it) {
-    Deliver(node, life,
+void Fleet::HandleMachineCall(const std::string& node,
+                              const CallMachines& call) {
+  const std::uint64_t incarnation = nodes_.at(node).incarnation;
+  const auto answer = [this, node, incarnation, call](MachineAnswer it) {
+    Deliver(node, incarnation,
             MachinesAnswered{.request = call.request, .answer = std::move(it)});
   };
   const auto* order = std::get_if<BeginUpkeep>(&call.request);
-  if (order != nullptr && lose_machine_answers > 0) {
-    --lose_machine_answers;
+  if (order != nullptr && lost_machine_replies > 0) {
+    --lost_machine_replies;
     At(now_ + milliseconds(2), [this, order = *order] { TakeDown(order); });
     return At(now_ + call.timeout, [answer] { answer(MachineUnanswered()); });
   }
@@ -50,11 +51,11 @@
     const auto* move = std::get_if<MoveMachine>(&call.request);
     answer(upkeep != nullptr ? TakeDown(*upkeep)
            : move != nullptr ? Move(*move)
-                             : ListTheMachines());
+                             : ListAllMachines());
   });
 }
 
-MachineAnswer Fleet::ListTheMachines() const {
+MachineAnswer Fleet::ListAllMachines() const {
   MachinePage page;
   for (const auto& [name, worker] : workers_) {
     const auto down = down_until_.find(name);
@@ -103,31 +104,32 @@
     down += until > now_ ? 1 : 0;
   }
   most_down = std::max(most_down, down);
-  upkeeps.push_back(order.machine);
+  taken_down.push_back(order.machine);
   down_until_[order.machine] = now_ + std::chrono::seconds(2);
   const std::string old_id = worker.info().id;
   worker.Crash(now_, order.machine + "-upkept");
-  silent_.insert(order.machine);
+  unresponsive_.insert(order.machine);
   At(now_ + std::chrono::seconds(2), [this, &worker, old_id] {
-    silent_.erase(worker.info().address);
+    unresponsive_.erase(worker.info().address);
     store.Remove("worker/" + old_id);
     ListWorker(worker);
   });
   return MachineTaken{};
 }
 
-void Fleet::CallTheAdvice(const std::string& node, const CallAdvice& call) {
-  const std::uint64_t life = nodes_.at(node).life;
+void Fleet::HandleAdviceCall(const std::string& node, const CallAdvice& call) {
+  const std::uint64_t incarnation = nodes_.at(node).incarnation;
   AdviceGiven given;
   for (const std::string& it : call.request.workers) {
     if (allows(call.request.step, it)) {
       given.allowed.push_back({.worker = it, .ticket = "t"});
     }
   }
-  At(now_ + advice_takes(call.request), [this, node, life, call, given] {
-    Deliver(node, life,
-            AdviceAnswered{.request = call.request, .answer = given});
-  });
+  At(now_ + advice_duration(call.request),
+     [this, node, incarnation, call, given] {
+       Deliver(node, incarnation,
+               AdviceAnswered{.request = call.request, .answer = given});
+     });
 }
 
 }  // namespace burdockrock::engine
--- a/Tests/engine/lasting_job.cc
+++ b/Tests/engine/lasting_job.cc
@@ -4,7 +4,7 @@
 
 namespace burdockrock::engine {
 
-std::string JobFor(const Fleet& fleet, const std::string& heir) {
+std::string JobAdoptedBy(const Fleet& fleet, const std::string& heir) {
   std::string job = "j";
   while (ChooseMember(fleet.state(heir), job, {}) != heir + "-1") {
     job += "1";
@@ -22,7 +22,7 @@
                          const std::string& owner,
                          const std::string& heir) {
   fleet.Settle();
-  std::string job = JobFor(fleet, heir);
+  std::string job = JobAdoptedBy(fleet, heir);
   PlanAll(fleet, {.endless = true});
   fleet.Submit(owner, job, Lasting(kLastingTasks));
   fleet.Run(std::chrono::seconds(1));
@@ -32,9 +32,9 @@
   return job;
 }
 
-std::set<std::string> AtWork(const Fleet& fleet,
-                             const std::string& job,
-                             const std::string& dead) {
+std::set<std::string> RunningTasks(const Fleet& fleet,
+                                   const std::string& job,
+                                   const std::string& dead) {
   std::set<std::string> tasks;
   for (const SeenRun& it : fleet.seen) {
     const bool runs = it.ended == kForever && it.worker != dead;
--- a/Tests/engine/lasting_job.h
+++ b/Tests/engine/lasting_job.h
@@ -18,13 +18,13 @@
 // Bound on the time until a lasting task runs again. The guarantee is 6 s after
 // the end of its last run, counted after 7 s without faults; the lease of an
 // unresponsive worker takes 7.9 s to expire.
-inline constexpr Duration kBackAtWork = std::chrono::seconds(9);
+inline constexpr Duration kRestartBound = std::chrono::seconds(9);
 
 // A job of one step of `count` lasting tasks.
 JobSpec Lasting(std::uint32_t count);
 
 // The name of a job that the instance `heir` adopts if its owner is lost.
-std::string JobFor(const Fleet& fleet, const std::string& heir);
+std::string JobAdoptedBy(const Fleet& fleet, const std::string& heir);
 
 // Submits a job of lasting tasks to `owner` and adds two workers with free
 // room. Returns the job's name, by which `heir` adopts it if its owner is lost.
@@ -33,9 +33,9 @@
                          const std::string& heir);
 
 // Tasks of the job that run, except at the worker `dead`.
-std::set<std::string> AtWork(const Fleet& fleet,
-                             const std::string& job,
-                             const std::string& dead);
+std::set<std::string> RunningTasks(const Fleet& fleet,
+                                   const std::string& job,
+                                   const std::string& dead);
 
 }  // namespace burdockrock::engine
 
--- a/Tests/engine/lasting_test.cc
+++ b/Tests/engine/lasting_test.cc
@@ -73,7 +73,7 @@
   fleet.Kill("n0");
   fleet.Run(kRestartTime);
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // The owner of the worker crashed before it reported the ends.
@@ -84,7 +84,7 @@
   fleet.Kill("n1");
   fleet.Run(kRestartTime);
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("Lasting tasks restart if both owners crash at their end") {
@@ -95,7 +95,7 @@
   fleet.Kill("n1");
   fleet.Run(kRestartTime);
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A worker was replaced while its owner and the job's owner crashed.
@@ -110,7 +110,7 @@
   fleet.store.Put("worker/w1-2", "w1|b|s|8000|0");
   fleet.Run(kRestartTime - milliseconds(1500));
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // All instances were down until all leases had expired.
@@ -127,7 +127,7 @@
   }
   fleet.Run(kRestartTime);
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A worker was unreachable until its leases had expired, and was then reachable
@@ -135,16 +135,18 @@
 TEST_CASE("Lasting tasks restart after their worker was unreachable") {
   Fleet fleet;
   StartJob(fleet);
-  fleet.order_fault = [](const std::string&, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w1" ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w1" ? CommandFault::kUnreached : CommandFault::kNone;
   };
   fleet.Run(milliseconds(7500));
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(4));
   CHECK(CountRunning(fleet) == kTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against an ignored repeat of an end. A run had ended and was counted,
@@ -183,18 +185,19 @@
       },
       seconds(6)));
   const std::string other = adopter == "n1" ? "n2-1" : "n1-1";
-  fleet.Tell(adopter, other,
-             AdoptReport{.jobs = {"j1"},
-                         .runs = {{.task = run.task,
-                                   .run = run.run,
-                                   .worker = run.worker,
-                                   .state = RunState::kRunning}}});
-  fleet.Tell(adopter, other,
-             EndReports{.ends = {{.worker = run.worker,
-                                  .sequence = 1,
-                                  .task = run.task,
-                                  .run = run.run,
-                                  .how = RunEnd::kStopped}}});
+  fleet.DeliverPeerMessage(
+      adopter, other,
+      AdoptReport{.jobs = {"j1"},
+                  .runs = {{.task = run.task,
+                            .run = run.run,
+                            .worker = run.worker,
+                            .state = RunState::kRunning}}});
+  fleet.DeliverPeerMessage(adopter, other,
+                           EndReports{.ends = {{.worker = run.worker,
+                                                .sequence = 1,
+                                                .task = run.task,
+                                                .run = run.run,
+                                                .how = RunEnd::kStopped}}});
   const TaskPhase phase = [&] {
     const Job& job = fleet.state(adopter).jobs.at("j1");
     const auto name = ParseTaskName(run.task);
@@ -236,7 +239,7 @@
   EndRuns(it.fleet, "w1");
   it.fleet.Run(seconds(1));
   CHECK(CountRunning(it.fleet) == kTasks);
-  CheckPromises(it.fleet);
+  CheckInvariants(it.fleet);
 }
 
 // The owner's message that it renews no more leases arrived after the end of
@@ -251,11 +254,11 @@
   EndRuns(it.fleet, "w1");
   for (const char* node : {"n1", "n2"}) {
     REQUIRE_FALSE(it.fleet.state(node).jobs.contains("j1"));
-    it.fleet.Tell(node, "n0-1", Parting());
+    it.fleet.DeliverPeerMessage(node, "n0-1", Parting());
   }
   it.fleet.Run(seconds(1));
   CHECK(CountRunning(it.fleet) == kTasks);
-  CheckPromises(it.fleet);
+  CheckInvariants(it.fleet);
 }
 
 }  // namespace
--- a/Tests/engine/lost_answers_test.cc
+++ b/Tests/engine/lost_answers_test.cc
@@ -23,7 +23,7 @@
   return [each, n = 0](const std::string&, const std::string&,
                        const WorkerRequest& it) mutable {
     const bool lost = std::holds_alternative<Call>(it) && ++n % each == 0;
-    return lost ? OrderFault::kLate : OrderFault::kNone;
+    return lost ? CommandFault::kLate : CommandFault::kNone;
   };
 }
 
@@ -62,9 +62,9 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
   SlowestJob(fleet, "calm");
-  fleet.order_fault = LoseOneIn<StartRun>(8);
+  fleet.command_fault = LoseOneIn<StartRun>(8);
   CHECK(SlowestJob(fleet, "lossy") <= kTaskTime + milliseconds(400));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against ends that stay unknown for the whole wait of a long poll whose
@@ -73,10 +73,10 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
-  fleet.order_fault = LoseOneIn<HoldWorker>(8);
+  fleet.command_fault = LoseOneIn<PollWorker>(8);
   SlowestJob(fleet, "first");
   CHECK(SlowestJob(fleet, "lossy") <= kTaskTime + milliseconds(900));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against a worker that gets no work, or whose lasting tasks are
@@ -85,12 +85,12 @@
   Fleet fleet;
   fleet.Settle();
   bool lost = false;
-  fleet.order_fault = [&lost](const std::string&, const std::string& worker,
-                              const WorkerRequest& it) {
+  fleet.command_fault = [&lost](const std::string&, const std::string& worker,
+                                const WorkerRequest& it) {
     const bool lose =
-        !lost && worker == "w0" && std::holds_alternative<HoldWorker>(it);
+        !lost && worker == "w0" && std::holds_alternative<PollWorker>(it);
     lost = lost || lose;
-    return lose ? OrderFault::kLate : OrderFault::kNone;
+    return lose ? CommandFault::kLate : CommandFault::kNone;
   };
   fleet.Run(seconds(6));
   REQUIRE(lost);
@@ -103,15 +103,15 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
-  fleet.order_fault = LoseOneIn<HoldWorker>(8);
+  fleet.command_fault = LoseOneIn<PollWorker>(8);
   SlowestJob(fleet, "fast");
-  fleet.worker_way = milliseconds(150);
+  fleet.worker_latency = milliseconds(150);
   SlowestJob(fleet, "first");
   const std::size_t before = CountSilent(fleet);
   CHECK(SlowestJob(fleet, "slow") <= kTaskTime + milliseconds(2500));
   CHECK(CountSilent(fleet) - before <= 2);
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 0);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/messages_test.cc
+++ b/Tests/engine/messages_test.cc
@@ -47,7 +47,7 @@
   fleet.Run(seconds(5));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(stops.sent.size() == 0);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // `node` knows the room of all workers of `owner`.
@@ -123,7 +123,7 @@
                   [](const OfferAnswers& it) { return !it.rooms.empty(); });
   CHECK(told);
   CHECK(CountRuns(fleet, "j2") == 32);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // In a large fleet the members' waits for the advice service are told late. All
@@ -153,8 +153,8 @@
 TEST_CASE("An answer with advice tells the member's wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
-  fleet.Tell("n1", "n0-1",
-             RoomDigest{.sequence = 1, .advice_wait = seconds(2)});
+  fleet.DeliverPeerMessage(
+      "n1", "n0-1", RoomDigest{.sequence = 1, .advice_wait = seconds(2)});
   CHECK(fleet.state("n1").advice.waits.at("n0-1") == seconds(2));
   std::vector<AdviceReply> replies;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
@@ -210,7 +210,7 @@
 TEST_CASE("Who knows a job's former owner learns of the present one") {
   Fleet fleet;
   fleet.Settle();
-  fleet.Tell("n1", "n2-1", AdoptQuery{.jobs = {{"j1", 1}}});
+  fleet.DeliverPeerMessage("n1", "n2-1", AdoptQuery{.jobs = {{"j1", 1}}});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" && to == "n1";
   };
@@ -219,7 +219,7 @@
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
   fleet.Run(seconds(5));
   CHECK(fleet.StateOf("n0", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A member of the release before tells one wait, for calls of any priority.
--- a/Tests/engine/path_test.cc
+++ b/Tests/engine/path_test.cc
@@ -25,7 +25,7 @@
   }
   CHECK(CountRuns(fleet, "j1") == 6);
   CHECK(fleet.seen.front().payload == "p");
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A step starts only after all tasks it waits for are done") {
@@ -43,7 +43,7 @@
   }
   CHECK(first_start['1'] >= last_end['0']);
   CHECK(first_start['2'] >= last_end['1']);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("Tasks that don't fit wait, and no worker gets more than it has") {
@@ -54,7 +54,7 @@
   fleet.Run(seconds(12));
   CHECK(fleet.StateOf("n2", "j1") == JobState::kCompleted);
   CHECK(fleet.StateOf("n2", "j2") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A submission repeated anywhere finds the first job") {
@@ -97,7 +97,7 @@
   fleet.Run(seconds(1));
   const std::uint64_t call = fleet.Cancel("n2", "j1");
   fleet.Run(seconds(1));
-  CHECK(std::holds_alternative<CancelTaken>(fleet.answers[call]));
+  CHECK(std::holds_alternative<CancelAccepted>(fleet.answers[call]));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCancelled);
   for (const SeenRun& it : fleet.seen) {
     CHECK(it.how == RunEnd::kStopped);
@@ -123,7 +123,7 @@
     }
   }
   CHECK(last - first < milliseconds(20));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Two members of a gang were booked at a worker that was cut off with its owner
@@ -141,12 +141,12 @@
     return is_off(from) != is_off(to);
   };
   fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
-    return is_off(node) ? StoreFault::kSilent : StoreFault::kNone;
+    return is_off(node) ? StoreFault::kNoReply : StoreFault::kNone;
   };
-  fleet.order_fault = [&](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
-    return is_off(node) != is_off(worker) ? OrderFault::kUnreached
-                                          : OrderFault::kNone;
+  fleet.command_fault = [&](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
+    return is_off(node) != is_off(worker) ? CommandFault::kUnreached
+                                          : CommandFault::kNone;
   };
   JobSpec gang = OneStep(4, 8000);
   gang.steps.front().gang = true;
@@ -163,11 +163,13 @@
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kNone;
   };
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(8));
   CHECK(CountRuns(fleet, "gang") == 4);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A lasting task is restarted however it ends") {
@@ -186,7 +188,7 @@
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n0", "j1") == JobState::kRunning);
   CHECK(CountRuns(fleet, "j1") == 7);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("Occurrences begin at their times and not before") {
@@ -237,10 +239,10 @@
   }
   JobSpec batch = OneStep(11);
   batch.steps[0].checkpointing = true;
-  fleet.Ask("n0", {.question = CallerQuestion::kSubmit,
-                   .queue = "batch",
-                   .job = "b1",
-                   .spec = batch});
+  fleet.SendRequest("n0", {.query = CallerQuery::kSubmit,
+                           .queue = "batch",
+                           .job = "b1",
+                           .spec = batch});
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, "b1") >= 9);
   fleet.Submit("n1", "j1", OneStep(9));
@@ -248,7 +250,7 @@
   CHECK(fleet.StateOf("n2", "j1") == JobState::kCompleted);
   fleet.Run(seconds(60));
   CHECK(fleet.StateOf("n2", "b1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: users of a service wait for seconds while batch work runs beside it.
@@ -295,16 +297,16 @@
       return RunPlan{.takes = seconds(3)};
     };
   }
-  fleet.Ask("n0", {.question = CallerQuestion::kSubmit,
-                   .queue = "batch",
-                   .job = "b1",
-                   .spec = OneStep(11)});
+  fleet.SendRequest("n0", {.query = CallerQuery::kSubmit,
+                           .queue = "batch",
+                           .job = "b1",
+                           .spec = OneStep(11)});
   fleet.Run(seconds(1));
   fleet.Submit("n1", "j1", OneStep(6));
   fleet.Run(seconds(20));
   CHECK(fleet.StateOf("n2", "j1") == JobState::kCompleted);
   CHECK(CountRuns(fleet, "b1") == 11);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("The number of waiting jobs is known everywhere") {
@@ -315,10 +317,10 @@
                  OneStep(5));
   }
   fleet.Run(milliseconds(1800));
-  const std::uint64_t call = fleet.Ask(
-      "n0", {.question = CallerQuestion::kWaiting, .host = "h", .path = "/q/"});
+  const std::uint64_t call = fleet.SendRequest(
+      "n0", {.query = CallerQuery::kWaiting, .host = "h", .path = "/q/"});
   fleet.Run(milliseconds(100));
-  const auto* shown = std::get_if<WaitingShown>(&fleet.answers[call]);
+  const auto* shown = std::get_if<WaitingCount>(&fleet.answers[call]);
   REQUIRE(shown != nullptr);
   CHECK(shown->jobs >= 1);
   CHECK(shown->jobs <= 3);
@@ -365,8 +367,8 @@
   CHECK(bad->fault.path == "steps[0].after[0]");
   const std::uint64_t large = fleet.Submit("n0", "j2", OneStep(1, 99'000));
   CHECK(std::holds_alternative<BadRequest>(fleet.answers[large]));
-  const std::uint64_t nowhere = fleet.Ask(
-      "n0", {.question = CallerQuestion::kState, .host = "x", .path = "/q/j"});
+  const std::uint64_t nowhere = fleet.SendRequest(
+      "n0", {.query = CallerQuery::kState, .host = "x", .path = "/q/j"});
   CHECK(std::holds_alternative<NoSuchQueue>(fleet.answers[nowhere]));
 }
 
--- a/Tests/engine/planned_stop_test.cc
+++ b/Tests/engine/planned_stop_test.cc
@@ -47,13 +47,13 @@
         calls_.insert(fleet_.Submit(node_, job, OneStep(1)));
         break;
       case 1:
-        calls_.insert(fleet_.AskState(node_, job));
+        calls_.insert(fleet_.QueryState(node_, job));
         break;
       case 2:
         calls_.insert(fleet_.Cancel(node_, job));
         break;
       case 3:
-        calls_.insert(fleet_.AskState(node_, "others"));
+        calls_.insert(fleet_.QueryState(node_, "others"));
         break;
     }
   }
@@ -87,7 +87,7 @@
 TEST_CASE(
     "A planned stop leaves no request unanswered, whatever the store does") {
   for (const StoreFault fault :
-       {StoreFault::kNone, StoreFault::kRefuse, StoreFault::kSilent,
+       {StoreFault::kNone, StoreFault::kRefuse, StoreFault::kNoReply,
         StoreFault::kLoseAnswer}) {
     for (const int lead_ms : {0, 400}) {
       CAPTURE(static_cast<int>(fault));
@@ -137,7 +137,7 @@
   CancelNow(fleet, "n0", "j1");
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCancelled);
   fleet.Run(seconds(3));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
   CHECK(std::all_of(fleet.seen.begin(), fleet.seen.end(),
                     [](const SeenRun& it) { return it.ended != kForever; }));
 }
@@ -149,11 +149,11 @@
   StopAfterStart(fleet);
   CancelNow(fleet, "n1", "j1");
   REQUIRE(fleet.IsUp("n0"));
-  const std::uint64_t asked = fleet.AskState("n0", "j1");
+  const std::uint64_t asked = fleet.QueryState("n0", "j1");
   REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(asked); },
                          seconds(2)));
   CHECK(fleet.answers[asked] ==
-        CallerAnswer(JobShown{.state = JobState::kCancelled}));
+        CallerAnswer(JobStateFound{.state = JobState::kCancelled}));
 }
 
 // Guards against states that were read before the stop of the jobs' owner.
@@ -177,19 +177,19 @@
     const std::uint64_t cancel = fleet.Cancel("n1", name(it));
     REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(cancel); },
                            seconds(3)));
-    REQUIRE(std::holds_alternative<CancelTaken>(fleet.answers[cancel]));
+    REQUIRE(std::holds_alternative<CancelAccepted>(fleet.answers[cancel]));
   }
   fleet.Run(seconds(1));
   fleet.StopPlanned("n2");
   fleet.Run(milliseconds(5));
-  REQUIRE(fleet.state("n2").stop.asked);
+  REQUIRE(fleet.state("n2").stop.requested);
   int asked = 0;
   int stale = 0;
   for (int it = 0; it < kJobs && fleet.TakesCalls("n2"); ++it) {
-    const std::uint64_t call = fleet.AskState("n2", name(it));
+    const std::uint64_t call = fleet.QueryState("n2", name(it));
     fleet.RunUntil([&] { return fleet.answers.contains(call); }, seconds(2));
     ++asked;
-    const auto* shown = std::get_if<JobShown>(&fleet.answers[call]);
+    const auto* shown = std::get_if<JobStateFound>(&fleet.answers[call]);
     if (shown != nullptr && shown->state != JobState::kCancelled) {
       ++stale;
     }
@@ -204,18 +204,18 @@
   StopAfterStart(fleet);
   fleet.Run(milliseconds(20));
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
-    return node == "n0" ? StoreFault::kSilent : StoreFault::kNone;
+    return node == "n0" ? StoreFault::kNoReply : StoreFault::kNone;
   };
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" || to == "n0";
   };
-  const std::uint64_t asked = fleet.AskState("n0", "j1");
+  const std::uint64_t asked = fleet.QueryState("n0", "j1");
   CancelNow(fleet, "n1", "j1");
   REQUIRE_FALSE(fleet.answers.contains(asked));
   REQUIRE(fleet.RunUntil([&] { return fleet.answers.contains(asked); },
                          seconds(3)));
   CHECK(fleet.answers[asked] !=
-        CallerAnswer(JobShown{.state = JobState::kRunning}));
+        CallerAnswer(JobStateFound{.state = JobState::kRunning}));
 }
 
 }  // namespace burdockrock::engine
--- a/Tests/engine/recovery_list_test.cc
+++ b/Tests/engine/recovery_list_test.cc
@@ -23,10 +23,10 @@
   fleet.store_fault = [=](const std::string& node, const StoreRequest&) {
     return is_apart(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [=](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
-    return is_apart(node) != is_apart(worker) ? OrderFault::kUnreached
-                                              : OrderFault::kNone;
+  fleet.command_fault = [=](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
+    return is_apart(node) != is_apart(worker) ? CommandFault::kUnreached
+                                              : CommandFault::kNone;
   };
 }
 
@@ -40,7 +40,7 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(30)});
-  const std::string job = JobFor(fleet, "n0");
+  const std::string job = JobAdoptedBy(fleet, "n0");
   fleet.Submit("n0", job, OneStep(36));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == 36);
@@ -56,7 +56,7 @@
   REQUIRE(fleet.state("n0").jobs.contains(job));
   CHECK(fleet.state("n0").jobs.at(job).recovering);
   fleet.Run(seconds(3));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Of 30 instances 18 lost power and were back within 0.6 s. 99 jobs that they
@@ -68,7 +68,7 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
-  const std::string job = JobFor(fleet, "n0");
+  const std::string job = JobAdoptedBy(fleet, "n0");
   fleet.Submit("n0", job, OneStep(36));
   fleet.Run(seconds(26));
   REQUIRE(CountRuns(fleet, job) == 36);
@@ -81,7 +81,7 @@
   CHECK_FALSE(fleet.state("n0").jobs.at(job).recovering);
   fleet.Run(seconds(3));
   CHECK(CountRuns(fleet, job) == 36);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/recovery_messages_test.cc
+++ b/Tests/engine/recovery_messages_test.cc
@@ -41,7 +41,7 @@
     CHECK(fleet.StateOf("n0", "j" + it) == JobState::kCompleted);
   }
   CHECK(queries <= 9 * 8 * 3);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A failure domain with a third of the workers was cut off, and for 6 s nothing
@@ -76,10 +76,10 @@
   fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
     return is_apart(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [&](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
-    return is_apart(node) != is_apart(worker) ? OrderFault::kUnreached
-                                              : OrderFault::kNone;
+  fleet.command_fault = [&](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
+    return is_apart(node) != is_apart(worker) ? CommandFault::kUnreached
+                                              : CommandFault::kNone;
   };
   fleet.Run(seconds(3));
   for (const std::string& it : fleet.worker_names()) {
@@ -99,13 +99,15 @@
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kNone;
   };
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(8));
   for (const std::string& it : fleet.nodes()) {
     CHECK(fleet.StateOf("n0", "j" + it) == JobState::kCompleted);
   }
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/takeover_review_test.cc
+++ b/Tests/engine/takeover_review_test.cc
@@ -47,8 +47,8 @@
 auto UnreachedFor(const std::set<std::string>& nodes) {
   return [nodes](const std::string& node, const std::string& worker,
                  const WorkerRequest&) {
-    return worker == "w0" && nodes.contains(node) ? OrderFault::kUnreached
-                                                  : OrderFault::kNone;
+    return worker == "w0" && nodes.contains(node) ? CommandFault::kUnreached
+                                                  : CommandFault::kNone;
   };
 }
 
@@ -70,10 +70,10 @@
     if (node == "n0") {
       return StoreFault::kRefuse;
     }
-    return node == other && silent && WatchesMembers(it) ? StoreFault::kSilent
+    return node == other && silent && WatchesMembers(it) ? StoreFault::kNoReply
                                                          : StoreFault::kNone;
   };
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n1", "n2"});
   fleet.Run(milliseconds(1300));
   silent = true;
   const auto has_left = [&] {
@@ -86,7 +86,7 @@
   fleet.Run(seconds(5));
   CHECK(CountGone(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // n0 loses its registration and its answers from w0. Asked by the next owner it
@@ -104,19 +104,19 @@
     if (node == "n0" && fleet.now() < begin + back) {
       return StoreFault::kRefuse;
     }
-    return node == heir && silent && WatchesMembers(it) ? StoreFault::kSilent
+    return node == heir && silent && WatchesMembers(it) ? StoreFault::kNoReply
                                                         : StoreFault::kNone;
   };
-  fleet.order_fault = [&](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
+  fleet.command_fault = [&](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
     if (worker != "w0") {
-      return OrderFault::kNone;
+      return CommandFault::kNone;
     }
     if (node != "n0") {
-      return OrderFault::kUnreached;
+      return CommandFault::kUnreached;
     }
-    return fleet.now() < begin + back ? OrderFault::kLoseAnswer
-                                      : OrderFault::kNone;
+    return fleet.now() < begin + back ? CommandFault::kLoseAnswer
+                                      : CommandFault::kNone;
   };
   if (late > Duration(0)) {
     fleet.Run(back - milliseconds(1300));
@@ -131,7 +131,7 @@
   }
   fleet.Run(seconds(8));
   INFO("back after " << ToMilliseconds(back) << " ms");
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A member that has given a worker up and owns it again is seen") {
@@ -166,7 +166,7 @@
   fleet.Kill("n0");
   fleet.Run(seconds(5));
   REQUIRE(fleet.state(heir).owned.at("w0-1").claimed);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n1", "n2"});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from != to && (from == "n0" || to == "n0");
   };
@@ -176,7 +176,7 @@
   CHECK(fleet.state("n0").owned.at("w0-1").claimed);
   CHECK(CountGone(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A worker is lost together with its owner, and its entry has left the store's
@@ -187,7 +187,7 @@
 TEST_CASE("A lost worker that its new owner has never seen is found gone") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -195,10 +195,10 @@
   fleet.Run(milliseconds(500));
   fleet.Start("n0");
   fleet.Run(seconds(9));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
   fleet.Run(seconds(20));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // The machine of a worker is lost while the worker's owner is in its planned
@@ -210,17 +210,17 @@
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
     fleet.Run(milliseconds(250 * it));
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
     fleet.StopPlanned("n0");
     fleet.Run(
         milliseconds(1900));  // a call that is under way is still answered
     fleet.worker("w0").Crash(fleet.now(), "w0-2");
     fleet.Run(milliseconds(2600));
     fleet.store.Remove("worker/w0-1");
-    fleet.Run(kBackAtWork - milliseconds(2600));
+    fleet.Run(kRestartBound - milliseconds(2600));
     INFO("stopped " << 250 * it << " ms later");
-    CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-    CheckPromises(fleet);
+    CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+    CheckInvariants(fleet);
   }
 }
 
@@ -229,14 +229,14 @@
 TEST_CASE("A worker that is lost for good with its owner is gone in time") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
   fleet.store.Remove("worker/w0-1");
-  fleet.Run(kBackAtWork - milliseconds(4500));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  fleet.Run(kRestartBound - milliseconds(4500));
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // An instance is restarted and reads the list of members while the process
@@ -247,7 +247,7 @@
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   const Time begin = fleet.now();
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     const bool grant = std::holds_alternative<StoreLeaseGrant>(it);
     return node == "n0" && grant && fleet.now() < begin + milliseconds(3500)
@@ -262,8 +262,8 @@
   fleet.store.Remove("worker/w0-1");
   // A lease after it has registered, and what claiming and asking takes.
   fleet.Run(milliseconds(3500 + 6420 + 1500 - 4500));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // A machine is suspended for a while, and is turned away by the store. By a
@@ -279,12 +279,12 @@
     fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
       return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
     };
-    fleet.order_fault = UnreachedFor({"n1", "n2"});
+    fleet.command_fault = UnreachedFor({"n1", "n2"});
     fleet.Run(milliseconds(250 * it));
     fleet.Freeze("n0", kSuspended);
     fleet.Run(seconds(26));
     INFO("suspended after " << 250 * it << " ms");
-    CheckPromises(fleet);
+    CheckInvariants(fleet);
   }
 }
 
@@ -294,7 +294,7 @@
   for (const bool all_back : {true, false}) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
-    fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+    fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
     for (const std::string& it : fleet.nodes()) {
       fleet.Kill(it);
     }
@@ -307,10 +307,10 @@
     }
     fleet.Run(milliseconds(2500));
     fleet.store.Remove("worker/w0-1");
-    fleet.Run(kBackAtWork - milliseconds(2500));
+    fleet.Run(kRestartBound - milliseconds(2500));
     INFO("all back " << all_back);
-    CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-    CheckPromises(fleet);
+    CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+    CheckInvariants(fleet);
   }
 }
 
@@ -328,27 +328,27 @@
   PlanAll(fleet, {.endless = true});
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  fleet.order_fault = UnreachedFor({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n0", "n1", "n2"});
   fleet.Run(seconds(4));
   fleet.store.Remove("worker/w0-1");
   REQUIRE(fleet.RunUntil([&] { return CountGone(fleet, "w0-1") == 1; },
                          seconds(12)));
-  fleet.order_fault = UnreachedFor({});
+  fleet.command_fault = UnreachedFor({});
   fleet.Start("n0");
   fleet.Run(milliseconds(500));
   fleet.store.Put("worker/w0-1", kEntryOfW0);
   fleet.Run(seconds(2));
   REQUIRE(fleet.state("n0").owned.at("w0-1").claimed);
   CHECK(fleet.state(heir).view.at("w0-1").accepting);
-  CHECK_FALSE(fleet.state(heir).view.at("w0-1").gone);
+  CHECK_FALSE(fleet.state(heir).view.at("w0-1").lost);
   const std::string job = "j1";
   fleet.Submit("n0", job, Lasting(kLastingTasks));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == kLastingTasks);
-  fleet.order_fault = UnreachedFor({"n1", "n2"});
+  fleet.command_fault = UnreachedFor({"n1", "n2"});
   fleet.Kill("n0");
   fleet.Run(seconds(8));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A worker has lost its path to the store, its owner renews what runs there. A
@@ -358,7 +358,7 @@
 TEST_CASE("A recovery hears each member before it ends") {
   Fleet fleet({.instances = 3, .workers = 3});
   fleet.Settle();
-  const std::string job = JobFor(fleet, "n2");
+  const std::string job = JobAdoptedBy(fleet, "n2");
   PlanAll(fleet, {.endless = true});
   fleet.Submit("n1", job, Lasting(12));
   fleet.Run(seconds(1));
@@ -378,7 +378,7 @@
   fleet.Run(seconds(6));
   cut = false;
   fleet.Run(seconds(3));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // An order to stop from a job's new owner that comes before its first question
@@ -388,15 +388,17 @@
   Fleet fleet;
   fleet.Settle();
   const std::string job = "j1";
-  fleet.Tell("n0", "n1-1", AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
+  fleet.DeliverPeerMessage("n0", "n1-1",
+                           AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
   fleet.Run(seconds(3));
   const Time asked = fleet.now();
-  fleet.Tell("n0", "n2-1",
-             TaskStops{.stops = {{.task = job + ".0.0.0",
-                                  .run = 1,
-                                  .worker = "w0-1",
-                                  .generation = 3}}});
-  fleet.Tell("n0", "n2-1", AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
+  fleet.DeliverPeerMessage("n0", "n2-1",
+                           TaskStops{.stops = {{.task = job + ".0.0.0",
+                                                .run = 1,
+                                                .worker = "w0-1",
+                                                .generation = 3}}});
+  fleet.DeliverPeerMessage("n0", "n2-1",
+                           AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
   CHECK(fleet.state("n0").known.at(job).adopted >= asked);
 }
 
--- a/Tests/engine/upkeep_test.cc
+++ b/Tests/engine/upkeep_test.cc
@@ -25,16 +25,16 @@
 TEST_CASE("Each machine of a wave goes down once, at most the cap at a time") {
   Fleet fleet;
   fleet.Settle();
-  fleet.AskForWave(WaveOf({"w0", "w1", "w2", "w3"}, 2));
+  fleet.RequestWave(WaveOf({"w0", "w1", "w2", "w3"}, 2));
   CHECK(fleet.RunUntil(
       [&] { return fleet.store.ValueOf(kStatus) == "running"; }, seconds(6)));
   CHECK(fleet.RunUntil(
       [&] { return fleet.store.ValueOf(kStatus) == "completed"; },
       seconds(30)));
-  CHECK(fleet.upkeeps.size() == 4);
+  CHECK(fleet.taken_down.size() == 4);
   CHECK(fleet.most_down <= 2);
   fleet.Run(seconds(5));
-  CHECK(fleet.upkeeps.size() == 4);
+  CHECK(fleet.taken_down.size() == 4);
 }
 
 // Symptom: work is lost or thrown away because its machine goes down.
@@ -47,7 +47,7 @@
                  OneStep(8));
   }
   fleet.Run(milliseconds(500));
-  fleet.AskForWave(WaveOf({"w0", "w1", "w2"}, 1));
+  fleet.RequestWave(WaveOf({"w0", "w1", "w2"}, 1));
   CHECK(fleet.RunUntil(
       [&] { return fleet.store.ValueOf(kStatus) == "completed"; },
       seconds(60)));
@@ -57,7 +57,7 @@
           JobState::kCompleted);
   }
   CHECK(CountEnds(fleet, RunEnd::kDone) == fleet.seen.size());
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a service is gone from more places at once than it can bear.
@@ -74,7 +74,7 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(8));
   REQUIRE(CountRuns(fleet, "j1") == 6);
-  fleet.AskForWave(WaveOf({"w0", "w1", "w2"}, 3));
+  fleet.RequestWave(WaveOf({"w0", "w1", "w2"}, 3));
   std::size_t fewest = 6;
   CHECK(fleet.RunUntil(
       [&] {
@@ -87,7 +87,7 @@
       },
       seconds(90)));
   CHECK(fewest >= 5);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: two instances order machines in turn, or a machine goes down twice.
@@ -95,9 +95,9 @@
 TEST_CASE("Another instance goes on with a wave whose holder is lost") {
   Fleet fleet;
   fleet.Settle();
-  fleet.AskForWave(WaveOf({"w0", "w1", "w2", "w3"}, 1));
-  REQUIRE(
-      fleet.RunUntil([&] { return fleet.upkeeps.size() == 2; }, seconds(20)));
+  fleet.RequestWave(WaveOf({"w0", "w1", "w2", "w3"}, 1));
+  REQUIRE(fleet.RunUntil([&] { return fleet.taken_down.size() == 2; },
+                         seconds(20)));
   for (const std::string& it : fleet.nodes()) {
     if (fleet.state(it).upkeep.listed) {
       fleet.Kill(it);
@@ -107,7 +107,7 @@
   CHECK(fleet.RunUntil(
       [&] { return fleet.store.ValueOf(kStatus) == "completed"; },
       seconds(40)));
-  CHECK(fleet.upkeeps.size() == 4);
+  CHECK(fleet.taken_down.size() == 4);
   CHECK(fleet.most_down == 1);
 }
 
@@ -116,12 +116,12 @@
 TEST_CASE("A lost answer to an order to go down changes nothing") {
   Fleet fleet;
   fleet.Settle();
-  fleet.lose_machine_answers = 2;
-  fleet.AskForWave(WaveOf({"w0", "w1", "w2"}, 1));
+  fleet.lost_machine_replies = 2;
+  fleet.RequestWave(WaveOf({"w0", "w1", "w2"}, 1));
   CHECK(fleet.RunUntil(
       [&] { return fleet.store.ValueOf(kStatus) == "completed"; },
       seconds(60)));
-  CHECK(fleet.upkeeps.size() == 3);
+  CHECK(fleet.taken_down.size() == 3);
   CHECK(fleet.most_down == 1);
 }
 
@@ -148,7 +148,7 @@
       std::count_if(fleet.seen.begin(), fleet.seen.end(),
                     [](const SeenRun& it) { return it.how != RunEnd::kDone; });
   CHECK(cut == 0);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE(
--- a/Tests/engine/worker_failure_test.cc
+++ b/Tests/engine/worker_failure_test.cc
@@ -30,7 +30,7 @@
   fleet.store.Put("worker/w0-2", "w0|a|s|8000|0");
   fleet.Run(seconds(6));
   CHECK(fleet.StateOf("n0", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a task runs at two workers at once.
@@ -45,15 +45,15 @@
   fleet.Run(seconds(1));
   const std::size_t before = fleet.seen.size();
   const std::string cut = fleet.seen.front().worker.substr(0, 2);
-  fleet.order_fault = [cut](const std::string&, const std::string& worker,
-                            const WorkerRequest&) {
-    return worker == cut ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [cut](const std::string&, const std::string& worker,
+                              const WorkerRequest&) {
+    return worker == cut ? CommandFault::kUnreached : CommandFault::kNone;
   };
   fleet.Run(seconds(5));
   CHECK(fleet.seen.size() == before);
   fleet.Run(seconds(6));
   CHECK(fleet.seen.size() > before);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a task runs again though it has ended done, or twice at once.
@@ -68,22 +68,23 @@
   fleet.Run(milliseconds(500));
   const std::vector<std::string> far = {"w0", "w3"};  // of the domain of n0
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
-    return node == "n0" ? StoreFault::kSilent : StoreFault::kNone;
+    return node == "n0" ? StoreFault::kNoReply : StoreFault::kNone;
   };
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return (from == "n0") != (to == "n0");
   };
-  fleet.order_fault = [&far](const std::string& node, const std::string& worker,
-                             const WorkerRequest&) {
+  fleet.command_fault = [&far](const std::string& node,
+                               const std::string& worker,
+                               const WorkerRequest&) {
     const bool is_far = std::find(far.begin(), far.end(), worker) != far.end();
-    return is_far == (node == "n0") ? OrderFault::kNone
-                                    : OrderFault::kUnreached;
+    return is_far == (node == "n0") ? CommandFault::kNone
+                                    : CommandFault::kUnreached;
   };
   fleet.Run(seconds(3));
   fleet.store.Remove("worker/w0-1");
   fleet.store.Remove("worker/w3-1");
   fleet.Run(milliseconds(6500));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
   CHECK(CountRuns(fleet, "j1") == 24);
 }
 
@@ -101,9 +102,9 @@
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
     return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [](const std::string&, const std::string& worker,
-                         const WorkerRequest&) {
-    return worker == "w0" ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [](const std::string&, const std::string& worker,
+                           const WorkerRequest&) {
+    return worker == "w0" ? CommandFault::kUnreached : CommandFault::kNone;
   };
   fleet.Run(seconds(2));
   fleet.store.Remove("worker/w0-1");
@@ -111,7 +112,7 @@
   fleet.Kill("n0");
   fleet.Run(seconds(6));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: jobs are late by the seconds for which a worker stands still.
@@ -127,7 +128,7 @@
   fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(30));
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: on a quiet day runs are moved as if they stood still.
@@ -175,7 +176,7 @@
     CHECK(fleet.StateOf("n0", "j" + std::to_string(it)) ==
           JobState::kCompleted);
   }
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Symptom: a step that allows copies waits for a worker that is cut off until
@@ -190,9 +191,9 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(milliseconds(500));
   const std::string cut = fleet.seen.front().worker.substr(0, 2);
-  fleet.order_fault = [cut](const std::string&, const std::string& worker,
-                            const WorkerRequest&) {
-    return worker == cut ? OrderFault::kUnreached : OrderFault::kNone;
+  fleet.command_fault = [cut](const std::string&, const std::string& worker,
+                              const WorkerRequest&) {
+    return worker == cut ? CommandFault::kUnreached : CommandFault::kNone;
   };
   fleet.Run(milliseconds(5500));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
--- a/Tests/platform/caller_codec_test.cc
+++ b/Tests/platform/caller_codec_test.cc
@@ -39,7 +39,7 @@
       R"("fills":true,"unknown":{}}]})"));
   REQUIRE(std::holds_alternative<CallerRequest>(decoded));
   const auto& request = std::get<CallerRequest>(decoded);
-  CHECK(request.question == CallerQuestion::kSubmit);
+  CHECK(request.query == CallerQuery::kSubmit);
   CHECK(request.host == "nony24.example");
   CHECK(request.path == "/q/5c0e");
   CHECK(request.spec ==
@@ -86,27 +86,27 @@
   const auto question = [](const char* method, const char* path) {
     return std::get<CallerRequest>(
                DecodeCallerRequest({.method = method, .path = path}))
-        .question;
+        .query;
   };
-  CHECK(question("GET", "/q/5c0e") == CallerQuestion::kState);
-  CHECK(question("GET", "/q/") == CallerQuestion::kWaiting);
-  CHECK(question("DELETE", "/q/5c0e") == CallerQuestion::kCancel);
+  CHECK(question("GET", "/q/5c0e") == CallerQuery::kState);
+  CHECK(question("GET", "/q/") == CallerQuery::kWaiting);
+  CHECK(question("DELETE", "/q/5c0e") == CallerQuery::kCancel);
   CHECK(std::get<HttpResponse>(DecodeCallerRequest({.method = "PUT"})).status ==
         405);
 }
 
 TEST_CASE("Answers say what is known and when to come back") {
   CHECK(EncodeCallerAnswer(JobAccepted{}).status == 200);
-  CHECK(EncodeCallerAnswer(JobShown{.state = JobState::kRunning}).body ==
+  CHECK(EncodeCallerAnswer(JobStateFound{.state = JobState::kRunning}).body ==
         R"({"state":"running"})");
-  CHECK(EncodeCallerAnswer(WaitingShown{.jobs = 12}).body ==
+  CHECK(EncodeCallerAnswer(WaitingCount{.jobs = 12}).body ==
         R"({"waiting":12})");
   CHECK(EncodeCallerAnswer(NoSuchQueue{}).status == 404);
   CHECK(EncodeCallerAnswer(NoSuchJob{}).status == 410);
   CHECK(EncodeCallerAnswer(BadRequest{}).status == 400);
-  CHECK(EncodeCallerAnswer(NotKnown{}).status == 504);
+  CHECK(EncodeCallerAnswer(OutcomeUnknown{}).status == 504);
   const HttpResponse later =
-      EncodeCallerAnswer(NotNow{.retry_after = milliseconds(1200)});
+      EncodeCallerAnswer(Unavailable{.retry_after = milliseconds(1200)});
   CHECK(later.status == 503);
   CHECK(later.retry_after == std::chrono::seconds(2));
 }
@@ -163,7 +163,7 @@
   CHECK(it.self.node == "n1");
   CHECK(it.self.address == "10.1.0.13:7720");
   CHECK(it.self.weight == 25);
-  CHECK(it.bounds.max_hold == milliseconds(5000));
+  CHECK(it.bounds.max_lease == milliseconds(5000));
   CHECK(it.max_connections == 3200);
   const auto problem = [](const std::string& text) {
     const auto read = ReadSettings(text, "f.json");
--- a/Tests/platform/standin_wire.cc
+++ b/Tests/platform/standin_wire.cc
@@ -219,7 +219,7 @@
 }
 
 WorkerRequest ReadHold(JsonFields& fields, std::optional<SpecFault>&) {
-  return HoldWorker{.fence = fields.Unsigned("fencing_token"),
+  return PollWorker{.fence = fields.Unsigned("fencing_token"),
                     .acknowledged = fields.Unsigned("acknowledged"),
                     .lease_until_ms = fields.Integer("deadline_ms"),
                     .wait = fields.Milliseconds("wait_ms")};
--- a/Tests/platform/standin_wire_test.cc
+++ b/Tests/platform/standin_wire_test.cc
@@ -63,7 +63,7 @@
 TEST_CASE("The stand-in's workers and the adapter agree") {
   const standin::StepsWire wire = StandinWire();
   const std::vector<WorkerRequest> requests = {
-      HoldWorker{.fence = 5,
+      PollWorker{.fence = 5,
                  .acknowledged = 9,
                  .lease_until_ms = 4000,
                  .wait = std::chrono::milliseconds(1900)},
--- a/Tests/platform/worker_codec_test.cc
+++ b/Tests/platform/worker_codec_test.cc
@@ -35,14 +35,14 @@
   CHECK(EncodeWorkerRequest(
             "i-1", PaceRun{.task = "t", .run = 1, .percent = 40, .fence = 7})
             .body == R"({"fencing_token":7,"percent":40,"run":1,"task":"t"})");
-  const HoldWorker hold{.fence = 7,
+  const PollWorker hold{.fence = 7,
                         .acknowledged = 57,
                         .lease_until_ms = 486000,
                         .wait = std::chrono::milliseconds(1000)};
   CHECK(EncodeWorkerRequest("i-1", hold).body ==
         R"({"acknowledged":57,"deadline_ms":486000,"fencing_token":7,)"
         R"("wait_ms":1000})");
-  CHECK(EncodeWorkerRequest("i-1", HoldWorker{.fence = 7}).body ==
+  CHECK(EncodeWorkerRequest("i-1", PollWorker{.fence = 7}).body ==
         R"({"acknowledged":0,"fencing_token":7})");
 }
 
--- a/Tests/runtime/engine_measures_test.cc
+++ b/Tests/runtime/engine_measures_test.cc
@@ -37,7 +37,7 @@
           .send_peer = [](const engine::SendPeer&) {},
           .write_log = [](const engine::WriteLog&) {},
           .end_process = [] {},
-          .note_span = [](const engine::NoteSpan&) {},
+          .note_span = [](const engine::RecordSpan&) {},
           .step_took = [](Duration) {},
           .event_waited = [this](Duration it) { waited.push_back(it); },
           .timer_late = [this](Duration it) { late.push_back(it); }}};
--- a/Tests/runtime/engine_peers_test.cc
+++ b/Tests/runtime/engine_peers_test.cc
@@ -34,10 +34,12 @@
 // messages a second were exchanged, and not of which kind.
 TEST_CASE("Messages between engines are counted by kind on both sides") {
   boost::asio::io_context io;
-  std::vector<engine::PeerSaid> said;
+  std::vector<engine::PeerMessageReceived> said;
   EnginePeerServer receiver(
       {.on_message =
-           [&](engine::PeerSaid it) { said.push_back(std::move(it)); },
+           [&](engine::PeerMessageReceived it) {
+             said.push_back(std::move(it));
+           },
        .log = [](const LogLine&) { FAIL("a message was refused"); }});
   HttpServer server(
       io, {},
--- a/Tests/standin/steps_control_test.cc
+++ b/Tests/standin/steps_control_test.cc
@@ -86,8 +86,8 @@
 TEST_CASE("The runs are told with their ends and acknowledgements") {
   Cell cell;
   CHECK(cell.Ask(Cell::Start("a.0.0.0")));
-  cell.Ask(engine::HoldWorker{.fence = 2, .acknowledged = 1});
-  cell.Ask(engine::HoldWorker{.fence = 1});
+  cell.Ask(engine::PollWorker{.fence = 2, .acknowledged = 1});
+  cell.Ask(engine::PollWorker{.fence = 1});
   engine::StartRun endless = Cell::Start("b.0.0.0");
   endless.payload = "sleep_ms=60000";
   cell.Ask(endless);
@@ -127,7 +127,7 @@
   const Time sent = MonotonicNow();
   CHECK_FALSE(cell.Ask(Cell::Start("a.0.0.0")));
   CHECK(cell.Runs()["runs"].empty());
-  CHECK(cell.Ask(engine::HoldWorker{.fence = 2}));
+  CHECK(cell.Ask(engine::PollWorker{.fence = 2}));
   REQUIRE(RunUntil(cell.io(), [&] { return !cell.Runs()["runs"].empty(); }));
   CHECK(cell.Runs()["runs"][0]["began_ms"].asInt64() >=
         ToMilliseconds(sent + milliseconds(30)));
--- a/Tests/standin/steps_servers.cc
+++ b/Tests/standin/steps_servers.cc
@@ -134,14 +134,14 @@
           engine::WorkerRefused{.kind = engine::WorkerRefusalKind::kReplaced});
     }
     engine::WorkerRequest order = call.request;
-    if (auto* hold = std::get_if<engine::HoldWorker>(&order); hold && late) {
+    if (auto* hold = std::get_if<engine::PollWorker>(&order); hold && late) {
       hold->wait = Duration(0);
     }
     const auto answer = worker_.Handle(now, order);
     return answer ? std::optional(wire_.encode_worker(*answer)) : std::nullopt;
   };
   if (late > Duration(0) &&
-      !std::holds_alternative<engine::HoldWorker>(call.request)) {
+      !std::holds_alternative<engine::PollWorker>(call.request)) {
     delays().Lose(respond);
     return delays().After(late, [poll] { poll(MonotonicNow(), false); });
   }
@@ -149,7 +149,7 @@
   if (const auto answer = poll(now, false)) {
     return Answer(respond, *answer);
   }
-  const auto& hold = std::get<engine::HoldWorker>(call.request);
+  const auto& hold = std::get<engine::PollWorker>(call.request);
   held_.Add({.deadline = now + hold.wait, .respond = respond, .poll = poll});
   Arm(now + kPoll);
 }
