--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -130,20 +130,19 @@
                         .max_wait = may_decline ? wait + WaitTolerance(expected)
                                                 : Duration(0),
                         .workers = workers});
-  advice.questions.emplace(call,
-                           AdviceQuestion{.step = step,
-                                          .member = member,
-                                          .workers = std::move(workers),
-                                          .priority = ready.queue->priority,
-                                          .reason = ReasonOf(context, ready),
-                                          .expected = expected,
-                                          .asked = context.now,
-                                          .due = context.now + wait + expected,
-                                          .give_up = context.now + timeout});
+  advice.queries.emplace(call, AdviceQuery{.step = step,
+                                           .member = member,
+                                           .workers = std::move(workers),
+                                           .priority = ready.queue->priority,
+                                           .reason = ReasonOf(context, ready),
+                                           .expected = expected,
+                                           .sent_at = context.now,
+                                           .due = context.now + wait + expected,
+                                           .deadline = context.now + timeout});
 }
 
 // Must be called before the reply's tickets are stored in the step.
-void UpdateShare(const AdviceQuestion& query,
+void UpdateShare(const AdviceQuery& query,
                  const AdviceReply& reply,
                  const StepRun& step,
                  AllowedShare& share) {
@@ -161,7 +160,7 @@
 void TakeTickets(Time now,
                  StepRun& step,
                  const AdvicePolicy& policy,
-                 const AdviceQuestion& query,
+                 const AdviceQuery& query,
                  const AdviceReply& reply) {
   step.advised_at = std::min(step.advised_at, now);
   std::set<std::string> allowed;
@@ -180,7 +179,7 @@
 }
 
 // Allows another query for the step. Null when the job is not known any more.
-StepRun* EndQuery(Context& context, const AdviceQuestion& query) {
+StepRun* EndQuery(Context& context, const AdviceQuery& query) {
   Job* job = FindJob(context.state, query.step.job);
   if (job == nullptr) {
     return nullptr;
@@ -191,7 +190,7 @@
 }
 
 void CountReply(Context& context,
-                const AdviceQuestion& query,
+                const AdviceQuery& query,
                 const AdviceReply& reply,
                 bool unused) {
   if (reply.declined || reply.failed) {
@@ -206,9 +205,9 @@
 }
 
 void GiveUpOverdueQueries(Context& context) {
-  std::erase_if(context.state.advice.questions, [&](const auto& it) {
+  std::erase_if(context.state.advice.queries, [&](const auto& it) {
     const bool lost = IsQueryLost(context, it.second);
-    if (context.now < it.second.give_up && !lost) {
+    if (context.now < it.second.deadline && !lost) {
       return false;
     }
     if (StepRun* step = EndQuery(context, it.second)) {
@@ -249,11 +248,11 @@
   // Also for a reply that is too late to be used. Otherwise its sender would be
   // avoided as unresponsive until its next digest.
   UpdateAdviceCaller(context, from, reply.wait, reply.urgent_wait);
-  auto node = context.state.advice.questions.extract(reply.call);
+  auto node = context.state.advice.queries.extract(reply.call);
   if (node.empty()) {
     return;
   }
-  const AdviceQuestion& query = node.mapped();
+  const AdviceQuery& query = node.mapped();
   StepRun* step = EndQuery(context, query);
   const Job* job = FindJob(context.state, query.step.job);
   const QueuePolicy* queue =
--- a/Source/engine/advice/advice_callers.cc
+++ b/Source/engine/advice/advice_callers.cc
@@ -50,7 +50,7 @@
 }
 
 Time LastUpdateOf(const Context& context, const std::string& member) {
-  const auto& updates = context.state.advice.heard;
+  const auto& updates = context.state.advice.reported_at;
   const auto it = updates.find(member);
   return it == updates.end() ? Time::min() : it->second;
 }
@@ -59,7 +59,7 @@
                   const std::string& member,
                   Time updated_since) {
   return member == context.self() ||
-         (!context.state.advice.silent.contains(member) &&
+         (!context.state.advice.unresponsive.contains(member) &&
           LastUpdateOf(context, member) >= updated_since);
 }
 
@@ -147,7 +147,7 @@
   const auto& waits = urgent ? advice.urgent_waits : advice.waits;
   const auto reported = waits.find(member);
   Duration wait = reported == waits.end() ? Duration(0) : reported->second;
-  for (const auto& [call, query] : advice.questions) {
+  for (const auto& [call, query] : advice.queries) {
     const bool before = !urgent || query.priority == kMostUrgent;
     if (query.member == member && before) {
       wait += query.expected;
@@ -177,40 +177,40 @@
   AdviceState& advice = context.state.advice;
   advice.waits[member] = wait;
   advice.urgent_waits[member] = urgent_wait;
-  advice.heard[member] = context.now;
-  advice.silent.erase(member);
+  advice.reported_at[member] = context.now;
+  advice.unresponsive.erase(member);
 }
 
 void ForgetAdviceCaller(Context& context, const std::string& member) {
   AdviceState& advice = context.state.advice;
   advice.waits.erase(member);
   advice.urgent_waits.erase(member);
-  advice.heard.erase(member);
-  advice.silent.erase(member);
+  advice.reported_at.erase(member);
+  advice.unresponsive.erase(member);
 }
 
-void AvoidAdviceCaller(Context& context, const AdviceQuestion& query) {
+void AvoidAdviceCaller(Context& context, const AdviceQuery& query) {
   if (FindMember(context.state, query.member) == nullptr) {
     return;
   }
   AdviceState& advice = context.state.advice;
   if (IsQueryLost(context, query)) {
-    advice.silent.insert(query.member);
+    advice.unresponsive.insert(query.member);
   }
   // The member is busier than it reported.
   for (auto* waits : {&advice.waits, &advice.urgent_waits}) {
     Duration& wait = (*waits)[query.member];
-    wait = std::max(wait, context.now - query.asked);
+    wait = std::max(wait, context.now - query.sent_at);
   }
 }
 
-bool IsQueryLost(const Context& context, const AdviceQuestion& query) {
+bool IsQueryLost(const Context& context, const AdviceQuery& query) {
   const std::string& member = query.member;
   if (member == context.self()) {
     return false;
   }
   const bool overdue = context.now >= query.due + kReplyOverdue &&
-                       LastUpdateOf(context, member) < query.asked;
+                       LastUpdateOf(context, member) < query.sent_at;
   return overdue || FindMember(context.state, member) == nullptr;
 }
 
--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -31,7 +31,7 @@
 
 // Whether the query is lost: its member was lost, or its reply is overdue and
 // the member has sent no update since the query.
-bool IsQueryLost(const Context& context, const AdviceQuestion& query);
+bool IsQueryLost(const Context& context, const AdviceQuery& query);
 
 // Estimated wait of one more call of this priority at the member: its last
 // report and the queries sent to it that have no reply yet.
@@ -45,7 +45,7 @@
 
 // Called when the query is given up. Its member counts as busier than it
 // reported, and as unresponsive if the query is lost, until its next report.
-void AvoidAdviceCaller(Context& context, const AdviceQuestion& query);
+void AvoidAdviceCaller(Context& context, const AdviceQuery& query);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/advice/advice_queue.cc
+++ b/Source/engine/advice/advice_queue.cc
@@ -29,16 +29,17 @@
 constexpr std::int64_t kLateParts = 2;
 
 Duration LatenessAt(const AdviceState& advice, Time now) {
-  const Duration left = std::max(advice.late_at + kLateSpan - now, Duration(0));
-  return advice.late * left.count() / kLateSpan.count();
+  const Duration left =
+      std::max(advice.overrun_at + kLateSpan - now, Duration(0));
+  return advice.overrun * left.count() / kLateSpan.count();
 }
 
 void NoteLateness(AdviceState& advice, Time now, Duration expected) {
   const Duration late =
       std::max(now - advice.called_at - expected, Duration(0));
   const Duration before = LatenessAt(advice, now);
-  advice.late = before + (late - before) / kLateParts;
-  advice.late_at = now;
+  advice.overrun = before + (late - before) / kLateParts;
+  advice.overrun_at = now;
 }
 
 // Expected wait of one more call of this priority here.
@@ -49,12 +50,12 @@
   if (advice.in_flight) {
     const Duration elapsed = now - advice.called_at;
     wait +=
-        std::max(advice.in_flight->ask.expected + late - elapsed, Duration(0));
+        std::max(advice.in_flight->request.expected + late - elapsed, Duration(0));
   }
-  for (const AdviceTurn& it : advice.turns) {
+  for (const QueuedAdviceCall& it : advice.call_queue) {
     const bool before =
-        priority != kMostUrgent || it.ask.priority == kMostUrgent;
-    wait += before ? it.ask.expected + late : Duration(0);
+        priority != kMostUrgent || it.request.priority == kMostUrgent;
+    wait += before ? it.request.expected + late : Duration(0);
   }
   return wait;
 }
@@ -62,17 +63,19 @@
 // Lower ranks come first. The most urgent calls come first, the others roughly
 // in the order of their arrival: with strict priorities, the steps of the last
 // queue would get no tickets.
-std::tuple<bool, Time> RankOf(const AdviceTurn& call) {
-  return {call.ask.priority != kMostUrgent,
-          call.arrived + kPriorityLead * call.ask.priority -
-              (call.ask.lasting ? kLastingLead : Duration(0))};
+std::tuple<bool, Time> RankOf(const QueuedAdviceCall& call) {
+  return {call.request.priority != kMostUrgent,
+          call.received_at + kPriorityLead * call.request.priority -
+              (call.request.lasting ? kLastingLead : Duration(0))};
 }
 
-std::deque<AdviceTurn>::iterator NextCall(std::deque<AdviceTurn>& turns) {
-  return std::min_element(turns.begin(), turns.end(),
-                          [](const AdviceTurn& left, const AdviceTurn& right) {
-                            return RankOf(left) < RankOf(right);
-                          });
+std::deque<QueuedAdviceCall>::iterator NextCall(
+    std::deque<QueuedAdviceCall>& turns) {
+  return std::min_element(
+      turns.begin(), turns.end(),
+      [](const QueuedAdviceCall& left, const QueuedAdviceCall& right) {
+        return RankOf(left) < RankOf(right);
+      });
 }
 
 // A member that is not listed is not necessarily lost: it may have registered
@@ -87,11 +90,13 @@
 // queries would delay others until they are given up too; a sign of that are
 // waiting steps whose query is younger than their wait.
 void RemoveStaleCalls(Context& context) {
-  std::erase_if(context.state.advice.turns, [&](const AdviceTurn& it) {
-    const bool given_up = it.ask.timeout != Duration(0) &&
-                          context.now >= it.arrived + it.ask.timeout;
-    return given_up || IsLostMember(context, it.from);
-  });
+  std::erase_if(context.state.advice.call_queue,
+                [&](const QueuedAdviceCall& it) {
+                  const bool given_up =
+                      it.request.timeout != Duration(0) &&
+                      context.now >= it.received_at + it.request.timeout;
+                  return given_up || IsLostMember(context, it.from);
+                });
 }
 
 }  // namespace
@@ -102,16 +107,17 @@
     return;
   }
   RemoveStaleCalls(context);
-  if (advice.turns.empty()) {
+  if (advice.call_queue.empty()) {
     return;
   }
-  const auto next = NextCall(advice.turns);
+  const auto next = NextCall(advice.call_queue);
   advice.in_flight = std::move(*next);
-  advice.turns.erase(next);
+  advice.call_queue.erase(next);
   advice.called_at = context.now;
-  context.Emit(CallAdvice{.request = {.step = advice.in_flight->ask.step,
-                                      .workers = advice.in_flight->ask.workers},
-                          .timeout = kAdviceTimeout});
+  context.Emit(
+      CallAdvice{.request = {.step = advice.in_flight->request.step,
+                             .workers = advice.in_flight->request.workers},
+                 .timeout = kAdviceTimeout});
 }
 
 void OnPeerAdviceRequest(Context& context,
@@ -128,8 +134,8 @@
                             .urgent_wait =
                                 UrgentAdviceWait(context.state, context.now)});
   }
-  context.state.advice.turns.push_back(
-      {.from = from, .ask = request, .arrived = context.now});
+  context.state.advice.call_queue.push_back(
+      {.from = from, .request = request, .received_at = context.now});
 }
 
 void OnAdviceAnswered(Context& context, const AdviceAnswered& event) {
@@ -137,14 +143,14 @@
   if (!advice.in_flight) {
     return;
   }
-  const AdviceTurn call = *std::exchange(advice.in_flight, std::nullopt);
-  NoteLateness(advice, context.now, call.ask.expected);
+  const QueuedAdviceCall call = *std::exchange(advice.in_flight, std::nullopt);
+  NoteLateness(advice, context.now, call.request.expected);
   AdviceReply reply{
-      .call = call.ask.call,
+      .call = call.request.call,
       .wait = AdviceWait(context.state, context.now),
       .urgent_wait = UrgentAdviceWait(context.state, context.now)};
   if (const auto* failed = std::get_if<AdviceFailed>(&event.answer)) {
-    advice.retry_at = context.now + kAdviceRetry;
+    advice.retry_at = context.now + kAdviceRetryDelay;
     reply.failed = true;
     context.Log(EventNumber::kAdviceFailed,
                 {{"step", event.request.step}, {"problem", failed->detail}});
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -140,7 +140,7 @@
   std::vector<std::string> chosen;
   for (const NamedWorker& it : names) {
     const bool roomless = !it.has_room && chosen.size() >= kMaxRoomlessWorkers;
-    if (roomless || chosen.size() == kMaxAdvised || HasEnoughWorkers(call)) {
+    if (roomless || chosen.size() == kMaxAdvisedWorkers || HasEnoughWorkers(call)) {
       break;
     }
     chosen.push_back(it.id);
--- a/Source/engine/call_fields.h
+++ b/Source/engine/call_fields.h
@@ -1,5 +1,5 @@
-// The members of the engine's calls, and of the documents that operators and
-// workers keep in the store, in JSON.
+// JSON fields of the engine's calls, and of the documents that operators and
+// workers keep in the store.
 #ifndef BURDOCKROCK_ENGINE_CALL_FIELDS_H_
 #define BURDOCKROCK_ENGINE_CALL_FIELDS_H_
 
@@ -163,7 +163,7 @@
 };
 
 template <>
-struct FieldsOf<engine::HoldWorker> {
+struct FieldsOf<engine::PollWorker> {
   template <typename Codec, typename Value>
   static void Visit(Codec& codec, Value& it) {
     codec.Field("fence", it.fence);
--- a/Source/engine/notices.cc
+++ b/Source/engine/condition_log.cc
@@ -1,4 +1,4 @@
-#include "engine/notices.h"
+#include "engine/condition_log.h"
 
 #include <algorithm>
 #include <map>
@@ -23,18 +23,18 @@
 namespace {
 
 // Between two checks of lasting conditions.
-constexpr Duration kRound = milliseconds(500);
-// Between two checks whether a cancelled job's last task has ended; the
-// reported time is too long by this at most.
-constexpr Duration kCancelLook = milliseconds(25);
-// Users are promised that nothing of a cancelled job is started any more this
-// long after the acknowledgement; a run that was started until then has the
-// worker's time to stop.
-constexpr Duration kCancelledStarts = milliseconds(3000);
+constexpr Duration kCheckInterval = milliseconds(500);
+// Between two checks of whether the last task of a cancelled job has ended. The
+// reported time is too long by at most this.
+constexpr Duration kCancelCheckInterval = milliseconds(25);
+// Users are guaranteed that no task of a cancelled job starts later than this
+// after the acknowledgement. A run that started before has the worker's stop
+// timeout to end.
+constexpr Duration kMaxStartAfterCancel = milliseconds(3000);
 // Between two lines with the totals of the calls for advice.
-constexpr Duration kAdviceTold = milliseconds(10'000);
-// Things named in one line; how many there are is said beside them.
-constexpr std::size_t kNamed = 3;
+constexpr Duration kAdviceLogInterval = milliseconds(10'000);
+// Items named in one line; another field has their total number.
+constexpr std::size_t kMaxNamed = 3;
 
 std::string Milliseconds(Duration span) {
   return std::to_string(ToMilliseconds(span));
@@ -45,45 +45,45 @@
   return owner.empty() ? "-" : owner;
 }
 
-// WORKER@OWNER:MS with the time since the owner's last report of it.
-std::string DescribeUnheard(const Context& context, const std::string& id) {
+// WORKER@OWNER:MS, with the time since the last report of the owner.
+std::string DescribeUnreported(const Context& context, const std::string& id) {
   const auto view = context.state.view.find(id);
-  const bool told =
+  const bool reported =
       view != context.state.view.end() && !view->second.owner.empty();
   const ListedWorker* listed = FindWorker(context.state, id);
   const bool unlisted = listed != nullptr && !listed->listed;
   return fmt::format(
       "{}@{}:{}{}", id, OwnerName(context, id),
-      told ? Milliseconds(context.now - view->second.heard) : "-",
+      reported ? Milliseconds(context.now - view->second.updated_at) : "-",
       unlisted ? ":unlisted" : "");
 }
 
-// The first few by the time of their last report.
-std::string DescribeUnheard(const Context& context, const Job& job) {
+// The workers that were reported the longest ago.
+std::string DescribeUnreported(const Context& context, const Job& job) {
   std::vector<std::pair<Time, std::string>> workers;
   for (const std::uint32_t number : job.unreported_workers.Numbers()) {
     const std::string& it = context.state.recovery.numbers.NameOf(number);
     const auto view = context.state.view.find(it);
-    const bool told = view != context.state.view.end();
-    workers.emplace_back(told ? view->second.heard : Time::min(), it);
+    const bool reported = view != context.state.view.end();
+    workers.emplace_back(reported ? view->second.updated_at : Time::min(), it);
   }
-  const std::size_t n = std::min(kNamed, workers.size());
+  const std::size_t n = std::min(kMaxNamed, workers.size());
   std::partial_sort(workers.begin(),
                     workers.begin() + static_cast<std::ptrdiff_t>(n),
                     workers.end());
   std::string text;
   for (std::size_t it = 0; it < n; ++it) {
     text += (text.empty() ? "" : " ") +
-            DescribeUnheard(context, workers[it].second);
+            DescribeUnreported(context, workers[it].second);
   }
   return text;
 }
 
-void LookAtRecoveries(Context& context) {
-  Reminders& reminders = context.state.notices.recoveries;
+void LogRecoveries(Context& context) {
+  LogRepeatLimiter& limiter = context.state.condition_log.recoveries;
   for (const std::string& id : context.state.active) {
     const Job& job = context.state.jobs.at(id);
-    if (job.recovering && reminders.IsDue(id, context.now, job.created)) {
+    if (job.recovering && limiter.IsDue(id, context.now, job.created)) {
       context.Log(
           EventNumber::kJobRecovering,
           {{"job", id},
@@ -93,21 +93,22 @@
             Milliseconds(context.now - context.state.members.registered_at)},
            {"members", std::to_string(job.awaited_members.size())},
            {"unheard", std::to_string(job.unreported_workers.size())},
-           {"workers", DescribeUnheard(context, job)}});
+           {"workers", DescribeUnreported(context, job)}});
     }
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
-// What another owner may have renewed there has to run out before the worker
-// counts as gone; a claim that was refused is tried again with a higher fence,
-// which the store gives.
-void LookAtClaims(Context& context) {
-  Reminders& reminders = context.state.notices.claims;
+// Logs claims of workers that do not reply. Such a worker is declared lost only
+// when the leases that another owner may have renewed there have expired. A
+// refused claim is no such case: it is repeated with a higher fence from the
+// store.
+void LogClaims(Context& context) {
+  LogRepeatLimiter& limiter = context.state.condition_log.claims;
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
     const bool waits = IsSilent(worker) && leases_end > context.now;
-    if (!waits || !reminders.IsDue(id, context.now, worker.silent_since)) {
+    if (!waits || !limiter.IsDue(id, context.now, worker.silent_since)) {
       continue;
     }
     const auto view = context.state.view.find(id);
@@ -120,11 +121,11 @@
                  {"for_ms", Milliseconds(context.now - worker.silent_since)},
                  {"left_ms", Milliseconds(leases_end - context.now)}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
-void LookAtStops(Context& context) {
-  Reminders& reminders = context.state.notices.stops;
+void LogStops(Context& context) {
+  LogRepeatLimiter& limiter = context.state.condition_log.stops;
   for (const auto& [id, worker] : context.state.owned) {
     std::size_t n = 0;
     std::pair<Time, std::string> oldest{kForever, ""};
@@ -134,7 +135,7 @@
         oldest = std::min(oldest, {run.since, task});
       }
     }
-    if (n == 0 || !reminders.IsDue(id, context.now, oldest.first)) {
+    if (n == 0 || !limiter.IsDue(id, context.now, oldest.first)) {
       continue;
     }
     context.Log(EventNumber::kStopUnanswered,
@@ -145,17 +146,17 @@
                  {"for_ms", Milliseconds(context.now - oldest.first)},
                  {"silent", IsSilent(worker) ? "yes" : "no"}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
-// Logs why tasks wait: for room, for tickets or for an answer.
-void LookAtWaits(Context& context) {
-  Reminders& reminders = context.state.notices.waits;
+// Logs why tasks wait: for room, for tickets or for a reply.
+void LogWaits(Context& context) {
+  LogRepeatLimiter& limiter = context.state.condition_log.waits;
   for (const ReadyStep& it : ReadySteps(context)) {
     const Time since = OldestWait(it);
     const std::string step = StepName(
         {.job = it.job->id, .occurrence = it.occurrence, .step = it.step});
-    if (since == kForever || !reminders.IsDue(step, context.now, since)) {
+    if (since == kForever || !limiter.IsDue(step, context.now, since)) {
       continue;
     }
     const StepWait wait = WaitOf(context, it);
@@ -170,7 +171,7 @@
                  {"denied", std::to_string(wait.denied)},
                  {"asked_ms", Milliseconds(wait.since_advice_check)}});
   }
-  reminders.EndRound();
+  limiter.EndRound();
 }
 
 // CALLS:NAMES:ALLOWED:STARTS:MS:UNUSED:GIVEN_UP
@@ -180,8 +181,9 @@
                      count.unused, count.given_up);
 }
 
-// Logs which calls take the service's time, and which of them lead to starts.
-void TellAdvice(Context& context) {
+// Logs which calls use the time of the advice service, and which of them lead
+// to starts.
+void LogAdviceTotals(Context& context) {
   const AdviceCounts& counts = context.state.totals.advice;
   std::vector<LogField> fields;
   for (const AdviceReason it : kAllAdviceReasons) {
@@ -194,11 +196,11 @@
   }
 }
 
-// TASK/RUN@WORKER@OWNER of the first few.
+// TASK/RUN@WORKER@OWNER of at most kMaxNamed runs.
 std::string DescribeRuns(const Context& context,
                          const std::vector<OpenRun>& runs) {
   std::string text;
-  for (std::size_t it = 0; it < std::min(kNamed, runs.size()); ++it) {
+  for (std::size_t it = 0; it < std::min(kMaxNamed, runs.size()); ++it) {
     const OpenRun& run = runs[it];
     text += fmt::format("{}{}/{}@{}@{}", text.empty() ? "" : " ",
                         ToString(run.task), run.run, run.worker,
@@ -207,9 +209,9 @@
   return text;
 }
 
-void LookAtCancel(Context& context, const Job& job, Time acknowledged) {
+void CheckCancel(Context& context, const Job& job, Time acknowledged) {
   const Duration bound =
-      kCancelledStarts + context.state.options.bounds.stop_timeout;
+      kMaxStartAfterCancel + context.state.options.bounds.stop_timeout;
   const Duration after = context.now - acknowledged;
   const std::vector<OpenRun> runs = OpenRunsOf(job);
   const bool over = runs.empty() && !job.recovering;
@@ -217,7 +219,7 @@
     context.Log(EventNumber::kCancelOver,
                 {{"job", job.id}, {"after_ms", Milliseconds(after)}});
   } else if (over ||
-             (after > bound && context.state.notices.cancels.IsDue(
+             (after > bound && context.state.condition_log.cancels.IsDue(
                                    job.id, context.now, acknowledged))) {
     context.Log(EventNumber::kCancelLate,
                 {{"job", job.id},
@@ -226,52 +228,55 @@
                  {"runs", DescribeRuns(context, runs)}});
   }
   if (over) {
-    context.Emit(NoteSpan{.span = MeasuredSpan::kCancel, .took = after});
-    context.state.notices.cancelled.erase(job.id);
+    context.Emit(RecordSpan{.span = MeasuredSpan::kCancel, .took = after});
+    context.state.condition_log.cancelled.erase(job.id);
   }
 }
 
-void LookAtCancels(Context& context) {
-  // Erased from within.
-  const std::map<std::string, Time> cancelled = context.state.notices.cancelled;
+void CheckCancels(Context& context) {
+  // A copy, as CheckCancel() erases entries.
+  const std::map<std::string, Time> cancelled =
+      context.state.condition_log.cancelled;
   for (const auto& [id, acknowledged] : cancelled) {
     if (const Job* job = FindJob(context.state, id)) {
-      LookAtCancel(context, *job, acknowledged);
+      CheckCancel(context, *job, acknowledged);
     } else {
-      context.state.notices.cancelled.erase(id);
+      context.state.condition_log.cancelled.erase(id);
     }
   }
-  context.state.notices.cancels.EndRound();
+  context.state.condition_log.cancels.EndRound();
 }
 
 }  // namespace
 
-void DriveNotices(Context& context) {
-  const bool stopping = context.state.stop.asked;
+void DriveConditionLog(Context& context) {
+  const bool stopping = context.state.stop.requested;
   for (LogLine& it : context.state.end_log.TakeDone(context.now, stopping)) {
     context.Log(it.number, std::move(it.fields));
   }
-  NoticesState& notices = context.state.notices;
-  if (!notices.cancelled.empty() &&
-      HasPassed(context.now, notices.cancels_seen_at, kCancelLook)) {
-    notices.cancels_seen_at = context.now;
-    LookAtCancels(context);
+  ConditionLogState& condition_log = context.state.condition_log;
+  if (!condition_log.cancelled.empty() &&
+      HasPassed(context.now, condition_log.cancels_checked_at,
+                kCancelCheckInterval)) {
+    condition_log.cancels_checked_at = context.now;
+    CheckCancels(context);
   }
-  if (HasPassed(context.now, notices.advice_told_at, kAdviceTold)) {
-    notices.advice_told_at = context.now;
-    TellAdvice(context);
+  if (HasPassed(context.now, condition_log.advice_logged_at,
+                kAdviceLogInterval)) {
+    condition_log.advice_logged_at = context.now;
+    LogAdviceTotals(context);
   }
-  if (!HasPassed(context.now, notices.seen_at, kRound)) {
+  if (!HasPassed(context.now, condition_log.checked_at, kCheckInterval)) {
     return;
   }
-  notices.seen_at = context.now;
-  LookAtRecoveries(context);
-  LookAtClaims(context);
-  LookAtStops(context);
-  LookAtWaits(context);
+  condition_log.checked_at = context.now;
+  LogRecoveries(context);
+  LogClaims(context);
+  LogStops(context);
+  LogWaits(context);
 }
 
-void NoteRecovered(Context& context, const Job& job) {
+void LogRecovered(Context& context, const Job& job) {
   std::size_t to_start = 0;
   for (std::uint32_t k = 0; k < job.occurrences.size(); ++k) {
     const auto& steps = job.occurrences[k].steps;
@@ -293,7 +298,7 @@
                {"to_start", std::to_string(to_start)}});
 }
 
-void NoteCancelAcknowledged(Context& context, const Job& job) {
+void TrackAcknowledgedCancel(Context& context, const Job& job) {
   if (job.stored_state != JobState::kCancelled) {
     return;
   }
@@ -302,7 +307,7 @@
               {{"job", job.id},
                {"after_ms", Milliseconds(context.now - job.ended_at)},
                {"out", std::to_string(runs.size())}});
-  context.state.notices.cancelled.emplace(job.id, context.now);
+  context.state.condition_log.cancelled.emplace(job.id, context.now);
 }
 
 }  // namespace burdockrock::engine
--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -38,7 +38,7 @@
                   OrphanScan& scan) {
   scan.in_flight = true;
   SendStoreRequest(context, StoreRange{.prefix = prefix, .after = scan.after},
-                   ForOrphans{.prefix = prefix});
+           ForOrphanScan{.prefix = prefix});
 }
 
 void BeginScan(Context& context, const std::string& prefix) {
@@ -195,7 +195,8 @@
   if (page == nullptr) {
     // A scan of all orphans repeats it after the retry delay.
     context.state.scans.erase(it);
-    context.state.scanned_at = context.now - kOrphanScan + kStoreRetry;
+    context.state.scanned_at =
+        context.now - kOrphanScanInterval + kStoreRetryDelay;
     return;
   }
   for (const StoreItem& item : page->items) {
@@ -212,8 +213,10 @@
 }
 
 void DriveAdoption(Context& context) {
-  const bool ready = IsRegistered(context.state) && !context.state.stop.asked;
-  if (ready && HasPassed(context.now, context.state.scanned_at, kOrphanScan)) {
+  const bool ready =
+      IsRegistered(context.state) && !context.state.stop.requested;
+  if (ready &&
+      HasPassed(context.now, context.state.scanned_at, kOrphanScanInterval)) {
     ScanAllOrphans(context);
   }
   std::vector<std::string> forgotten;
--- a/Source/engine/jobs/caller_requests.cc
+++ b/Source/engine/jobs/caller_requests.cc
@@ -34,9 +34,9 @@
   context.Log(EventNumber::kRequestRefused,
               {{"job", job}, {"cause", RefusalText(cause)}});
   Answer(context, call,
-         NotNow{.cause = cause,
-                .detail = RefusalText(cause),
-                .retry_after = kRetryAfter});
+         Unavailable{.cause = cause,
+                     .detail = RefusalText(cause),
+                     .retry_after = kRetryAfter});
 }
 
 bool IsJobId(std::string_view id) {
@@ -103,11 +103,11 @@
     job->submit_waiters.push_back(call);
     return;
   }
-  if (context.state.stop.asked) {
+  if (context.state.stop.requested) {
     return Refuse(context, call, id, RefusalCause::kStopping);
   }
   if (!IsRegistered(context.state) || !context.state.store.healthy) {
-    return Refuse(context, call, id, RefusalCause::kStoreAway);
+    return Refuse(context, call, id, RefusalCause::kStoreUnavailable);
   }
   auto fault = CheckSpec(spec);
   if (!fault) {
@@ -135,12 +135,12 @@
 // the process may be killed during a planned stop, and not before a peer could
 // reply.
 Time QueryDeadline(const Context& context) {
-  const Time usual = context.now + kQuestionPatience;
-  if (!context.state.stop.asked) {
+  const Time usual = context.now + kCallerQueryTimeout;
+  if (!context.state.stop.requested) {
     return usual;
   }
-  return std::min(
-      usual, std::max(StopDeadline(context.state), context.now + kPeerAnswer));
+  return std::min(usual, std::max(StopDeadline(context.state),
+                                  context.now + kPeerReplyTimeout));
 }
 
 void ReportState(Context& context,
@@ -148,7 +148,7 @@
                  const Job& job) {
   const JobState state = ShownState(job);
   if (waiter.member.empty()) {
-    return Answer(context, waiter.call, JobShown{.state = state});
+    return Answer(context, waiter.call, JobStateFound{.state = state});
   }
   Reply(context, waiter.member,
         JobReply{.call = waiter.call, .known = true, .state = state});
@@ -166,9 +166,9 @@
     }
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
       for (const Task& it : occurrence.steps[s].tasks) {
-        const bool may_be_done =
+        const bool may_be_applied =
             it.phase == TaskPhase::kDone || it.phase == TaskPhase::kRunning;
-        if (!may_be_done || job.spec.steps[s].lasting) {
+        if (!may_be_applied || job.spec.steps[s].lasting) {
           return false;
         }
       }
@@ -181,7 +181,7 @@
   if (!MayHaveEnded(job)) {
     return ReportState(context, waiter, job);
   }
-  waiter.reply_by = context.now + kStateNews;
+  waiter.reply_by = context.now + kStateUpdateWait;
   job.status_waiters.push_back(std::move(waiter));
 }
 
@@ -200,13 +200,13 @@
 
 void SendQuery(Context& context,
                std::uint64_t id,
-               WaitingCaller& caller,
+               PendingCallerQuery& caller,
                const std::string& owner) {
-  caller.asked = owner;
-  caller.asked_at = context.now;
+  caller.queried_member = owner;
+  caller.queried_at = context.now;
   Send(context, owner,
        JobQuery{.call = id,
-                .kind = caller.question == CallerQuestion::kCancel
+                .kind = caller.query == CallerQuery::kCancel
                             ? JobQueryKind::kCancel
                             : JobQueryKind::kState,
                 .job = caller.job});
@@ -218,30 +218,30 @@
 // that lasts.
 void QueryAllWithoutStore(Context& context,
                           std::uint64_t id,
-                          WaitingCaller& caller) {
+                          PendingCallerQuery& caller) {
   if (context.state.store.healthy ||
-      !HasPassed(context.now, caller.asked_at, kPeerAnswer)) {
+      !HasPassed(context.now, caller.queried_at, kPeerReplyTimeout)) {
     return;
   }
   for (const std::string& it : OtherMembers(context)) {
     SendQuery(context, id, caller, it);
   }
-  caller.asked.clear();
+  caller.queried_member.clear();
 }
 
 void ReportOutcome(Context& context,
-                   const WaitingCaller& caller,
+                   const PendingCallerQuery& caller,
                    JobState state) {
-  if (caller.question == CallerQuestion::kCancel) {
-    Answer(context, caller.call, CancelTaken{.state = state});
+  if (caller.query == CallerQuery::kCancel) {
+    Answer(context, caller.call, CancelAccepted{.state = state});
   } else {
-    Answer(context, caller.call, JobShown{.state = state});
+    Answer(context, caller.call, JobStateFound{.state = state});
   }
 }
 
 // Returns true if the caller was answered.
 bool AnswerFromRecord(Context& context,
-                      WaitingCaller& caller,
+                      PendingCallerQuery& caller,
                       const CatalogEntry& entry) {
   if (entry.absent) {
     Answer(context, caller.call, NoSuchJob{});
@@ -256,9 +256,9 @@
 
 // Answers the caller if possible, else reads the job's record or queries its
 // owner, as due. Returns true if the caller was answered.
-bool TryAnswer(Context& context, std::uint64_t id, WaitingCaller& caller) {
+bool TryAnswer(Context& context, std::uint64_t id, PendingCallerQuery& caller) {
   if (Job* job = FindHeldJob(context.state, caller.job)) {
-    if (caller.question == CallerQuestion::kState) {
+    if (caller.query == CallerQuery::kState) {
       OnStateQuery(context, *job, PendingCaller{.call = caller.call});
     } else {
       BeginCancel(context, *job, PendingCaller{.call = caller.call});
@@ -286,21 +286,21 @@
     // A record that was read before the query arrived doesn't count: the job
     // may have a new owner.
     const bool read_since = caller.read_from != Time::min();
-    if (context.state.stop.asked && read_since &&
-        caller.question == CallerQuestion::kState) {
-      Answer(context, caller.call, JobShown{.state = entry.record->state});
+    if (context.state.stop.requested && read_since &&
+        caller.query == CallerQuery::kState) {
+      Answer(context, caller.call, JobStateFound{.state = entry.record->state});
       return true;
     }
     caller.read_from = context.now;  // waits for its adoption
     return false;
   }
   const bool unresponsive =
-      caller.since_advice_check == owner &&
-      HasPassed(context.now, caller.advice_checked_at, kPeerAnswer);
+      caller.queried_member == owner &&
+      HasPassed(context.now, caller.queried_at, kPeerReplyTimeout);
   if (unresponsive) {
     RequestRecord(context, caller.job);
   }
-  if (unresponsive || caller.asked != owner) {
+  if (unresponsive || caller.queried_member != owner) {
     SendQuery(context, id, caller, owner);
   }
   return false;
@@ -308,14 +308,14 @@
 
 void OnCallerQuery(Context& context,
                    std::uint64_t call,
-                   CallerQuestion question,
+                   CallerQuery question,
                    const std::string& job) {
-  const std::uint64_t id = ++context.state.last_question;
-  WaitingCaller caller{.call = call,
-                       .question = question,
-                       .job = job,
-                       .since = context.now,
-                       .give_up = QueryDeadline(context)};
+  const std::uint64_t id = ++context.state.last_query;
+  PendingCallerQuery caller{.call = call,
+                            .query = question,
+                            .job = job,
+                            .since = context.now,
+                            .deadline = QueryDeadline(context)};
   // If the catalog names the job's owner, the owner is queried without another
   // read of the store.
   const auto entry = context.state.catalog.find(job);
@@ -327,17 +327,18 @@
   }
 }
 
-void TimeOutQuery(Context& context, const WaitingCaller& caller) {
+void TimeOutQuery(Context& context, const PendingCallerQuery& caller) {
   const CatalogEntry& entry = context.state.catalog[caller.job];
   const bool read_since = entry.record && entry.known_from >= caller.since;
-  if (caller.question == CallerQuestion::kState && read_since) {
+  if (caller.query == CallerQuery::kState && read_since) {
     // The owner can't be reached; the state that it stored last still holds.
-    Answer(context, caller.call, JobShown{.state = entry.record->state});
+    Answer(context, caller.call, JobStateFound{.state = entry.record->state});
     return;
   }
   context.Log(EventNumber::kQuestionUnanswered, {{"job", caller.job}});
   Answer(context, caller.call,
-         NotKnown{.detail = "the job's owner or the store can't be reached"});
+         OutcomeUnknown{.detail =
+                            "the job's owner or the store can't be reached"});
 }
 
 void OnQueueLengthQuery(Context& context,
@@ -348,7 +349,7 @@
     const auto it = queues.find(queue.name);
     jobs += it == queues.end() ? 0 : it->second;
   }
-  Answer(context, call, WaitingShown{.jobs = jobs});
+  Answer(context, call, WaitingCount{.jobs = jobs});
 }
 
 // Times out the callers, not the cancel itself. A member that forwarded a
@@ -358,8 +359,9 @@
     const bool due = context.now >= it.reply_by;
     if (due && it.member.empty()) {
       context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
-      Answer(context, it.call,
-             NotKnown{.detail = "the store has not taken the cancel yet"});
+      Answer(
+          context, it.call,
+          OutcomeUnknown{.detail = "the store has not taken the cancel yet"});
     }
     return due;
   });
@@ -368,7 +370,7 @@
 void TimeOutSubmitWaiters(Context& context, Job& job) {
   for (const std::uint64_t it : std::exchange(job.submit_waiters, {})) {
     context.Log(EventNumber::kQuestionUnanswered, {{"job", job.id}});
-    Answer(context, it, NotKnown{.detail = "the store has not answered"});
+    Answer(context, it, OutcomeUnknown{.detail = "the store has not answered"});
   }
 }
 
@@ -376,8 +378,8 @@
 void DriveSubmitWaiters(Context& context) {
   const bool store_usable =
       context.state.store.healthy && IsRegistered(context.state);
-  const bool stop_is_due =
-      context.state.stop.asked && context.now >= StopDeadline(context.state);
+  const bool stop_is_due = context.state.stop.requested &&
+                           context.now >= StopDeadline(context.state);
   std::vector<std::string> withdrawn;
   for (const std::string& id : context.state.active) {
     Job& job = context.state.jobs.at(id);
@@ -387,12 +389,12 @@
     if (!store_usable && WithdrawChange(context, ChangeKind::kCreateJob, id)) {
       for (const std::uint64_t it : job.submit_waiters) {
         Refuse(context, it, id,
-               context.state.stop.asked ? RefusalCause::kStopping
-                                        : RefusalCause::kStoreAway);
+               context.state.stop.requested ? RefusalCause::kStopping
+                                            : RefusalCause::kStoreUnavailable);
       }
       withdrawn.push_back(id);
     } else if (stop_is_due ||
-               HasPassed(context.now, job.created, kSubmitPatience)) {
+               HasPassed(context.now, job.created, kSubmitTimeout)) {
       TimeOutSubmitWaiters(context, job);
     }
   }
@@ -428,14 +430,14 @@
 
 // State queries and cancels that name a job by its id alone need no queue.
 bool NeedsQueue(const CallerRequest& request) {
-  const bool is_job_query = request.question == CallerQuestion::kState ||
-                            request.question == CallerQuestion::kCancel;
+  const bool is_job_query = request.query == CallerQuery::kState ||
+                            request.query == CallerQuery::kCancel;
   return !is_job_query || request.job.empty();
 }
 
 }  // namespace
 
-void OnCallerRequest(Context& context, const CallerAsked& event) {
+void OnCallerRequest(Context& context, const CallerRequestReceived& event) {
   const CallerRequest& request = event.request;
   if (context.state.configuration.version == 0) {
     return Refuse(context, event.call, request.path + request.job,
@@ -445,7 +447,7 @@
   if (target.queue == nullptr && NeedsQueue(request)) {
     return Answer(context, event.call, NoSuchQueue{});
   }
-  if (request.question == CallerQuestion::kWaiting) {
+  if (request.query == CallerQuery::kWaiting) {
     return OnQueueLengthQuery(context, event.call, *target.queue);
   }
   if (!IsJobId(target.job)) {
@@ -456,11 +458,11 @@
                       .problem = fmt::format("'{}' is no job's id", target.job),
                       .allowed = "1 to 64 letters, digits, - and _"}});
   }
-  if (request.question == CallerQuestion::kSubmit) {
+  if (request.query == CallerQuery::kSubmit) {
     return OnSubmit(context, event.call, target.job, *target.queue,
                     request.spec);
   }
-  OnCallerQuery(context, event.call, request.question, target.job);
+  OnCallerQuery(context, event.call, request.query, target.job);
 }
 
 void OnJobQuery(Context& context,
@@ -484,9 +486,10 @@
     return;
   }
   if (!reply.known) {
-    if (!it->second.asked.empty()) {  // the sender was taken for the owner
+    if (!it->second.queried_member
+             .empty()) {  // the sender was taken for the owner
       it->second.read_from = context.now;
-      it->second.asked.clear();
+      it->second.queried_member.clear();
     }
     return;
   }
@@ -514,7 +517,7 @@
   for (auto& [id, caller] : context.state.callers) {
     if (TryAnswer(context, id, caller)) {
       answered.push_back(id);
-    } else if (context.now >= caller.give_up) {
+    } else if (context.now >= caller.deadline) {
       TimeOutQuery(context, caller);
       answered.push_back(id);
     }
@@ -534,7 +537,7 @@
                   const PendingCaller& waiter,
                   JobState state) {
   if (waiter.member.empty()) {
-    return Answer(context, waiter.call, CancelTaken{.state = state});
+    return Answer(context, waiter.call, CancelAccepted{.state = state});
   }
   Reply(context, waiter.member,
         JobReply{.call = waiter.call, .known = true, .state = state});
@@ -555,7 +558,7 @@
                            const std::vector<PendingCaller>& waiters) {
   for (const PendingCaller& it : waiters) {
     if (it.member.empty()) {
-      OnCallerQuery(context, it.call, CallerQuestion::kCancel, job);
+      OnCallerQuery(context, it.call, CallerQuery::kCancel, job);
     } else {
       Reply(context, it.member, JobReply{.call = it.call});
     }
--- a/Source/engine/jobs/caller_requests.h
+++ b/Source/engine/jobs/caller_requests.h
@@ -14,7 +14,7 @@
 namespace burdockrock::engine {
 
 // Answers the request, or keeps it until the store or the job's owner replies.
-void OnCallerRequest(Context& context, const CallerAsked& event);
+void OnCallerRequest(Context& context, const CallerRequestReceived& event);
 
 // Answers another member's state query or cancel of a job owned here.
 void OnJobQuery(Context& context,
--- a/Source/engine/jobs/gang_bookings.cc
+++ b/Source/engine/jobs/gang_bookings.cc
@@ -47,7 +47,7 @@
                    const TaskName& name,
                    Task& task) {
   if (!IsOnlyBooked(job, name, task) ||
-      !HasPassed(context.now, task.since, kBookingTime)) {
+      !HasPassed(context.now, task.since, kBookingTimeout)) {
     return;
   }
   if (!task.booked) {
--- a/Source/engine/jobs/job_progress.cc
+++ b/Source/engine/jobs/job_progress.cc
@@ -3,9 +3,9 @@
 #include <map>
 #include <utility>
 
+#include "engine/condition_log.h"
 #include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_table.h"
-#include "engine/notices.h"
 #include "engine/records/record_writer.h"
 
 namespace burdockrock::engine {
@@ -70,7 +70,7 @@
 void QueueForget(Context& context, const Job& job) {
   QueueChange(
       context,
-      Change{.kind = ChangeKind::kForgetJob,
+      Change{.kind = ChangeKind::kRemoveJob,
              .job = job.id,
              .conditions = {{.key = JobKey(job.id), .revision = job.revision}},
              .removes = {JobKey(job.id), SpecKey(job.id)}});
@@ -211,7 +211,7 @@
   }
   AnswerStatusWaiters(context, *job, true);
   if (!job->cancel_waiters.empty()) {
-    NoteCancelAcknowledged(context, *job);
+    TrackAcknowledgedCancel(context, *job);
   }
   for (const PendingCaller& it : std::exchange(job->cancel_waiters, {})) {
     AnswerCancel(context, it, job->stored_state);
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -96,9 +96,10 @@
                     const OfferAnswer& answer) {
   if (answer.outcome == OfferOutcome::kOldRun ||
       answer.outcome == OfferOutcome::kOldOwner) {
-    return kOfferRepeat;  // the end of a run as high or higher may be in flight
+    return kOfferRetryDelay;  // the end of a run as high or higher may be in flight
   }
-  return LooksFree(context, ref, answer.worker) ? kRefusedPause : Duration(0);
+  return LooksFree(context, ref, answer.worker) ? kRefusedTaskDelay
+                                                  : Duration(0);
 }
 
 void OnRefused(Context& context,
@@ -255,7 +256,7 @@
     return OnCopyReport(context, task, RunState::kAbsent);
   }
   if (report.run == task.run && IsPlaced(task) && !PromoteCopy(context, task)) {
-    Requeue(context, task, kFailedPause);
+    Requeue(context, task, kFailedTaskDelay);
     if (ref.spec.gang) {
       StopGang(context, ref);
     }
@@ -301,15 +302,15 @@
                Task& task,
                std::map<std::string, RunQueries>& queries) {
   const Duration timeout =
-      task.phase == TaskPhase::kOffered ? kOfferRepeat : kRunCheck;
+      task.phase == TaskPhase::kOffered ? kOfferRetryDelay : kRunQueryDelay;
   // The worker's owner has to be queried even if it reports the run on its own:
   // it treats a run that is never queried as abandoned.
   const bool due = HasPassed(context.now, task.last_update, timeout) ||
-                   HasPassed(context.now, task.last_query, kRunCheck);
+                   HasPassed(context.now, task.last_query, kRunQueryDelay);
   if (!IsPlaced(task) || task.stopping || !due) {
     return;
   }
-  task.last_update = context.now - timeout + kOfferRepeat;
+  task.last_update = context.now - timeout + kOfferRetryDelay;
   task.last_query = context.now;
   const std::string owner = OwnerOfWorker(context, task.worker);
   if (!owner.empty()) {
@@ -334,7 +335,8 @@
     }
     // The repetition does not depend on the last update: an adopter receives
     // one with each query, which would delay the next stop without end.
-    if (task.stopping && HasPassed(context.now, task.stop_sent, kOfferRepeat)) {
+    if (task.stopping &&
+        HasPassed(context.now, task.stop_sent, kOfferRetryDelay)) {
       StopTask(context, job, name, task);
     }
     if (ended && task.copy && !task.copy->stopping) {
@@ -398,8 +400,8 @@
     }
     if (it.outcome == OfferOutcome::kStarted) {
       if (ref->task.phase == TaskPhase::kOffered) {
-        context.Emit(NoteSpan{.span = MeasuredSpan::kStart,
-                              .took = context.now - ref->task.since});
+        context.Emit(RecordSpan{.span = MeasuredSpan::kStart,
+                                .took = context.now - ref->task.since});
       }
       MarkRunning(context, ref->job, ref->step, ref->task);
     } else if (it.outcome == OfferOutcome::kBooked) {
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -110,7 +110,7 @@
     if (Fits(RoomOf(run.spec), CurrentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
       OrderStart(context, id, worker, task, run);
-    } else if (HasPassed(context.now, run.since, kStartPatience)) {
+    } else if (HasPassed(context.now, run.since, kStartTimeout)) {
       late.push_back(task);
     }
   }
--- a/Source/engine/jobs/recovery.cc
+++ b/Source/engine/jobs/recovery.cc
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
+#include "engine/condition_log.h"
 #include "engine/jobs/job_runs.h"
 #include "engine/jobs/job_table.h"
 #include "engine/members/membership.h"
-#include "engine/notices.h"
 #include "engine/records/record_writer.h"
 #include "engine/records/watches.h"
 #include "engine/workers/worker_list.h"
@@ -38,7 +38,7 @@
 // are accounted for. Tasks without a reported run wait to be placed.
 void FinishRecovery(Context& context, Job& job) {
   job.recovering = false;
-  NoteRecovered(context, job);
+  LogRecovered(context, job);
   ForEachTask(job, [&](const TaskName&, Task& task) {
     if (task.phase == TaskPhase::kUnknown) {
       task.phase = TaskPhase::kWaiting;
@@ -52,7 +52,7 @@
 // The reports since the last registration; earlier ones don't count, as this
 // instance may have missed workers that were listed and removed in between.
 UnseenWorkers& UnseenNow(Context& context) {
-  UnseenWorkers& unseen = context.state.unseen;
+  UnseenWorkers& unseen = context.state.unseen_workers;
   const Time registered_at = context.state.members.registered_at;
   if (unseen.registered_at != registered_at) {
     unseen = UnseenWorkers{.registered_at = registered_at};
@@ -62,9 +62,9 @@
 
 // Whether workers that this instance never saw in the list may run tasks.
 bool MayMissWorkers(Context& context) {
-  return !UnseenNow(context).all_told &&
+  return !UnseenNow(context).all_reported &&
          !HasPassed(context.now, context.state.members.registered_at,
-                    kUnlistedKept);
+                    kUnlistedWorkerKeptFor);
 }
 
 // Whether all workers that may run an adopted job's tasks are known. The list
@@ -81,7 +81,7 @@
   return HasPassed(context.now, context.state.members.registered_at,
                    kListSettleTime) &&
          std::all_of(others.begin(), others.end(), [&](const std::string& it) {
-           return UnseenNow(context).told_by.contains(it);
+           return UnseenNow(context).reported_by.contains(it);
          });
 }
 
@@ -125,7 +125,8 @@
                                      QueryRound& round) {
   std::set<std::string> members = job.awaited_members;
   if (round.unseen) {
-    const std::set<std::string>& reported_by = context.state.unseen.told_by;
+    const std::set<std::string>& reported_by =
+        context.state.unseen_workers.reported_by;
     for (const std::string& it : OtherMembers(context)) {
       if (!reported_by.contains(it)) {
         members.insert(it);
@@ -150,7 +151,7 @@
 
 void AddToRound(Context& context, Job& job, QueryRound& round) {
   if (job.version == job.stored_version &&
-      HasPassed(context.now, job.confirmed_at, kOwnershipDoubt)) {
+      HasPassed(context.now, job.confirmed_at, kOwnershipVerifyDelay)) {
     // Queries of a former owner stay unanswered: the write of the record shows
     // whether the job has another owner by now.
     job.confirmed_at = context.now;
@@ -199,7 +200,7 @@
       FindUnlisted(context, round.uncovered);
   for (auto& [member, query] : round.queries) {
     Time& sent_at =
-        recovery.told.try_emplace(member, Time::min()).first->second;
+        recovery.announced_at.try_emplace(member, Time::min()).first->second;
     const bool send_all =
         HasPassed(context.now, sent_at, kUnlistedRepeatInterval);
     for (const UnlistedWorker& it : unlisted) {
@@ -209,7 +210,8 @@
     }
     sent_at = send_all ? context.now : sent_at;
     query.wants_workers =
-        round.unseen && !context.state.unseen.told_by.contains(member);
+        round.unseen &&
+        !context.state.unseen_workers.reported_by.contains(member);
     Send(context, member, std::move(query));
   }
 }
@@ -250,9 +252,9 @@
   RecoveryState& recovery = context.state.recovery;
   std::optional<bool> knows_all;  // computed once, if a job needs it
   const bool query_due =
-      HasPassed(context.now, recovery.asked_at, kAdoptRepeat);
+      HasPassed(context.now, recovery.queried_at, kAdoptQueryInterval);
   QueryRound round{
-      .all = HasPassed(context.now, recovery.asked_all_at, kQueryAllInterval),
+      .all = HasPassed(context.now, recovery.queried_all_at, kQueryAllInterval),
       .unseen = MayMissWorkers(context)};
   bool recovering = false;
   for (const std::string& id : context.state.active) {
@@ -282,8 +284,8 @@
     return;
   }
   if (query_due) {
-    recovery.asked_at = context.now;
-    recovery.asked_all_at = round.all ? context.now : recovery.asked_all_at;
+    recovery.queried_at = context.now;
+    recovery.queried_all_at = round.all ? context.now : recovery.queried_all_at;
   }
   SendRound(context, round);
 }
@@ -295,8 +297,8 @@
   OnWorkersRemembered(context, report.remembered);
   // Each query since the registration has requested them, if needed.
   UnseenWorkers& unseen = UnseenNow(context);
-  unseen.told_by.insert(from);
-  unseen.all_told = unseen.all_told || report.all_remembered;
+  unseen.reported_by.insert(from);
+  unseen.all_reported = unseen.all_reported || report.all_remembered;
   for (const RunReport& it : report.runs) {
     OnRunReport(context, it);
   }
--- a/Source/engine/jobs/task_copies.cc
+++ b/Source/engine/jobs/task_copies.cc
@@ -110,16 +110,17 @@
     return;
   }
   if (task.copy->stopping) {
-    if (HasPassed(context.now, task.copy->stop_sent, kOfferRepeat)) {
+    if (HasPassed(context.now, task.copy->stop_sent, kOfferRetryDelay)) {
       StopCopy(context, job, name, task);
     }
     return;
   }
-  const Duration timeout = task.copy->running ? kRunCheck : kOfferRepeat;
+  const Duration timeout =
+      task.copy->running ? kRunQueryDelay : kOfferRetryDelay;
   if (!HasPassed(context.now, task.copy->last_update, timeout)) {
     return;
   }
-  task.copy->last_update = context.now - timeout + kOfferRepeat;
+  task.copy->last_update = context.now - timeout + kOfferRetryDelay;
   const std::string owner = OwnerOfWorker(context, task.copy->worker);
   if (!owner.empty()) {
     queries[owner].runs.push_back({.task = ToString(name),
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -39,7 +39,7 @@
   for (const auto& [id, worker] : state.owned) {
     all.insert(id);
   }
-  for (const auto& [id, gone] : state.gone) {
+  for (const auto& [id, gone] : state.lost_workers) {
     all.insert(id);
   }
   return all;
@@ -58,18 +58,18 @@
                 std::map<std::string, std::uint32_t> waiting,
                 RoomDigest& digest) {
   for (const auto& [queue, jobs] : waiting) {
-    const auto reported = state.told_waiting.find(queue);
+    const auto reported = state.sent_waiting.find(queue);
     const std::uint32_t before =
-        reported == state.told_waiting.end() ? 0 : reported->second;
+        reported == state.sent_waiting.end() ? 0 : reported->second;
     if (jobs != before) {
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
     }
   }
-  state.told_waiting = std::move(waiting);
+  state.sent_waiting = std::move(waiting);
 }
 
-DigestState::ToldWorker ReportedOf(const WorkerRoom& room) {
-  return {.fence = room.fence, .accepting = room.accepting, .gone = room.lost};
+DigestState::SentWorker ReportedOf(const WorkerRoom& room) {
+  return {.fence = room.fence, .accepting = room.accepting, .lost = room.lost};
 }
 
 // Whether a worker's owner changed, or whether it accepts tasks. Until other
@@ -77,14 +77,14 @@
 // most as often as digests may be sent.
 bool HasUrgentChange(Context& context) {
   DigestState& state = context.state.digest;
-  if (!HasPassed(context.now, state.looked_at, kDigestInterval)) {
+  if (!HasPassed(context.now, state.urgent_checked_at, kDigestInterval)) {
     return false;
   }
-  state.looked_at = context.now;
+  state.urgent_checked_at = context.now;
   return std::any_of(state.changed.begin(), state.changed.end(),
                      [&](const std::string& it) {
                        const auto room = RoomOfWorker(context, it);
-                       return room && state.told[it] != ReportedOf(*room);
+                       return room && state.sent_workers[it] != ReportedOf(*room);
                      });
 }
 
@@ -99,7 +99,7 @@
 bool RepeatIsDue(const Context& context) {
   const DigestState& state = context.state.digest;
   return HasPassed(context.now, state.sent_at,
-                   state.settled ? kDigestReminder : kDigestRepeat);
+                   state.settled ? kDigestKeepalive : kDigestRepeatDelay);
 }
 
 bool ChangeIsDue(Context& context) {
@@ -114,7 +114,7 @@
 
 void SendRequestedDigests(Context& context) {
   DigestState& state = context.state.digest;
-  if (state.askers.empty()) {
+  if (state.full_digest_requests.empty()) {
     return;
   }
   RoomDigest digest{
@@ -128,19 +128,19 @@
       digest.waiting.push_back({.queue = queue, .jobs = jobs});
     }
   }
-  for (const std::string& it : std::exchange(state.askers, {})) {
+  for (const std::string& it : std::exchange(state.full_digest_requests, {})) {
     Send(context, it, digest);
   }
 }
 
 void RequestMissedDigests(Context& context) {
-  for (auto& [member, asked] : context.state.digest.missed) {
-    if (HasPassed(context.now, asked, kDigestAsk)) {
+  for (auto& [member, asked] : context.state.digest.full_requested_at) {
+    if (HasPassed(context.now, asked, kFullDigestRetryDelay)) {
       asked = context.now;
       Send(context, member, DigestRequest());
     }
   }
-  std::erase_if(context.state.digest.missed, [&](const auto& it) {
+  std::erase_if(context.state.digest.full_requested_at, [&](const auto& it) {
     return FindMember(context.state, it.first) == nullptr;
   });
 }
@@ -150,17 +150,17 @@
                   const std::string& from,
                   const RoomDigest& digest) {
   DigestState& state = context.state.digest;
-  std::uint64_t& last = state.heard[from];
+  std::uint64_t& last = state.received_up_to[from];
   // A digest without changes repeats the sequence of the last one with changes.
   // Counting it as that one would hide that a single digest was missed.
   const bool has_changes = !digest.workers.empty() || !digest.waiting.empty();
   if (digest.whole) {
     last = std::max(last, digest.sequence);
-    state.missed.erase(from);
+    state.full_requested_at.erase(from);
   } else if (has_changes && digest.sequence == last + 1) {
     last = digest.sequence;
   } else if (digest.sequence > last) {
-    state.missed.try_emplace(from, Time::min());
+    state.full_requested_at.try_emplace(from, Time::min());
   }
 }
 
@@ -179,8 +179,8 @@
     ClampToZero(room.free);
     return room;
   }
-  const auto gone = context.state.gone.find(id);
-  if (gone == context.state.gone.end()) {
+  const auto gone = context.state.lost_workers.find(id);
+  if (gone == context.state.lost_workers.end()) {
     return std::nullopt;
   }
   return WorkerRoom{.worker = id, .fence = gone->second.fence, .lost = true};
@@ -191,20 +191,20 @@
   const bool newer =
       it.fence > view.fence ||
       (it.fence == view.fence && (it.lost || it.version >= view.version));
-  if (!newer || (view.gone && it.fence <= view.fence)) {
+  if (!newer || (view.lost && it.fence <= view.fence)) {
     return;
   }
   // Another member has claimed the worker after it was declared lost.
-  context.state.gone.erase(it.worker);
+  context.state.lost_workers.erase(it.worker);
   view = RoomView{.owner = from,
                   .fence = it.fence,
                   .version = it.version,
                   .free = it.free,
                   .yielding = it.yielding,
                   .accepting = it.accepting,
-                  .gone = it.lost,
+                  .lost = it.lost,
                   .slowness = it.slowness,
-                  .heard = context.now};
+                  .updated_at = context.now};
   const auto owned = context.state.owned.find(it.worker);
   if (owned != context.state.owned.end() && owned->second.claimed &&
       owned->second.fence < it.fence) {
@@ -233,7 +233,7 @@
     AddWaiting(state, CountAllWaiting(context.state), digest);
   }
   for (const WorkerRoom& it : digest.workers) {
-    state.told[it.worker] = ReportedOf(it);
+    state.sent_workers[it.worker] = ReportedOf(it);
   }
   const bool has_changes = !digest.workers.empty() || !digest.waiting.empty();
   state.sequence += has_changes ? 1 : 0;
@@ -264,14 +264,15 @@
 }
 
 void OnDigestRequest(Context& context, const std::string& from) {
-  context.state.digest.askers.insert(from);
+  context.state.digest.full_digest_requests.insert(from);
 }
 
 void RequestRoomUpdate(Context& context, const std::string& worker) {
   const auto view = context.state.view.find(worker);
   if (view != context.state.view.end() &&
       view->second.owner != context.self()) {
-    context.state.digest.missed.try_emplace(view->second.owner, Time::min());
+    context.state.digest.full_requested_at.try_emplace(view->second.owner,
+                                                       Time::min());
   }
 }
 
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -16,7 +16,7 @@
 constexpr Duration kEntryTtl = milliseconds(60'000);
 // The owner of a job without runs or ends here is still needed for late
 // messages and for former owners that do not know yet that they were replaced.
-// These have given up after kMaxWithoutStore; fifty times that costs little
+// These have given up after kMaxRenewalWithoutStore; fifty times that costs little
 // memory.
 constexpr Duration kKnownJobTtl = milliseconds(600'000);
 
@@ -127,14 +127,14 @@
     return;
   }
   CatalogEntry& entry = context.state.catalog[job];
-  entry.used = context.now;
+  entry.used_at = context.now;
   entry.want_record = true;
   context.state.catalog_wanted.insert(job);
 }
 
 void RequestSpec(Context& context, const std::string& job) {
   CatalogEntry& entry = context.state.catalog[job];
-  entry.used = context.now;
+  entry.used_at = context.now;
   if (entry.spec) {
     DescribeRuns(context, job, *entry.spec);
   } else {
@@ -164,7 +164,7 @@
   std::erase_if(context.state.catalog, [&](const auto& it) {
     const CatalogEntry& entry = it.second;
     return !entry.reading_record && !entry.reading_spec &&
-           HasPassed(context.now, entry.used, kEntryTtl);
+           HasPassed(context.now, entry.used_at, kEntryTtl);
   });
 }
 
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -7,6 +7,7 @@
 
 #include "engine/advice/advice.h"
 #include "engine/advice/advice_queue.h"
+#include "engine/condition_log.h"
 #include "engine/jobs/adoption.h"
 #include "engine/jobs/caller_requests.h"
 #include "engine/jobs/job_progress.h"
@@ -20,7 +21,6 @@
 #include "engine/members/node_records.h"
 #include "engine/members/planned_stop.h"
 #include "engine/members/unresponsive_members.h"
-#include "engine/notices.h"
 #include "engine/records/catalog.h"
 #include "engine/records/record_sweep.h"
 #include "engine/records/record_writer.h"
@@ -70,7 +70,7 @@
   void operator()(const DigestRequest&) { OnDigestRequest(context, from); }
 };
 
-// Hands the store's answer to whoever asked.
+// Passes the store's reply to the handler of its purpose.
 struct PurposeVisitor {
   Context& context;
   const StoreAnswer& answer;
@@ -83,7 +83,7 @@
     OnLeaseRenewed(context, it.lease, answer);
   }
   void operator()(const ForRegistration&) { OnRegistered(context, answer); }
-  void operator()(const ForRaise&) { OnFenceAdvanced(context, answer); }
+  void operator()(const ForFenceAdvance&) { OnFenceAdvanced(context, answer); }
   void operator()(const ForBatch& it) {
     OnBatchAnswer(context, it.batch, answer);
   }
@@ -91,13 +91,13 @@
   void operator()(const ForSpecRead& it) {
     OnSpecRead(context, it.job, answer);
   }
-  void operator()(const ForOrphans& it) {
+  void operator()(const ForOrphanScan& it) {
     OnOrphanPage(context, it.prefix, answer);
   }
-  void operator()(const ForSweep&) { OnSweepPage(context, answer); }
-  void operator()(const ForMembersReview&) { OnMembersRead(context, answer); }
-  void operator()(const ForNodes& it) {
-    OnNodePage(context, it.forget, answer);
+  void operator()(const ForRecordSweep&) { OnSweepPage(context, answer); }
+  void operator()(const ForMembersCheck&) { OnMembersRead(context, answer); }
+  void operator()(const ForNodeRecords& it) {
+    OnNodePage(context, it.remove, answer);
   }
   void operator()(const ForWaveStatus& it) {
     OnWaveTold(context, it.wave, it.completed, answer);
@@ -112,14 +112,15 @@
     context.state.members.last_contact = context.now;
   }
   void operator()(const TimePassed&) {}
-  void operator()(const CallerAsked& it) { OnCallerRequest(context, it); }
+  void operator()(const CallerRequestReceived& it) { OnCallerRequest(context, it);
+  }
   void operator()(const StoreAnswered& it) {
     if (auto purpose = TakeStoreCall(context, it)) {
       std::visit(PurposeVisitor{context, it.answer}, *purpose);
     }
   }
   void operator()(const WorkerAnswered& it) {
-    if (std::holds_alternative<HoldWorker>(it.request)) {
+    if (std::holds_alternative<PollWorker>(it.request)) {
       OnHoldAnswer(context, it);
     } else if (!std::holds_alternative<PaceRun>(it.request)) {
       OnOrderAnswer(context, it);
@@ -129,11 +130,11 @@
   void operator()(const MachinesAnswered& it) {
     OnMachinesAnswered(context, it);
   }
-  void operator()(const PeerSaid& it) {
+  void operator()(const PeerMessageReceived& it) {
     NoteMessageReceived(context, it.from);
     std::visit(PeerVisitor{context, it.from}, it.message);
   }
-  void operator()(const StopAsked&) { BeginStop(context); }
+  void operator()(const StopRequested&) { BeginStop(context); }
   void operator()(const BoundsChanged& it) {
     context.state.options.bounds = it.bounds;
   }
@@ -149,15 +150,16 @@
   }
 }
 
-// Callers are better served by another instance then. A single failed call
-// does not show that it is away.
-bool StoreIsAway(const State& state) {
+// If it is, another instance serves callers better. A single failed call is not
+// enough.
+bool StoreIsUnavailable(const State& state) {
   return !state.store.healthy &&
-         HasPassed(state.drive.driven_at, state.store.last_answer, kStoreAway);
+         HasPassed(state.drive.driven_at, state.store.last_answer,
+                   kStoreUnavailableAfter);
 }
 
-// Sends what must not wait for the next drive: writes to the store, reads of it
-// and messages to this instance itself.
+// Does what must not wait for the next Drive(): stops, reads and writes of the
+// store, and messages to this instance itself.
 void Forward(Context& context) {
   FlushStops(context);
   DriveCatalog(context);
@@ -165,14 +167,14 @@
   DrainInbox(context);
 }
 
-// Everything that is due by what is known now.
+// Does all work that is due.
 void Drive(Context& context) {
   DriveState& drive = context.state.drive;
   drive.due = false;
   drive.driven_at = context.now;
-  const bool keep = HasPassed(context.now, drive.kept_at, kTick);
-  if (keep) {
-    drive.kept_at = context.now;
+  const bool check_timeouts = HasPassed(context.now, drive.ticked_at, kTick);
+  if (check_timeouts) {
+    drive.ticked_at = context.now;
   }
   DriveMembership(context);
   DriveNodes(context);
@@ -183,7 +185,7 @@
   DriveEnds(context);
   DrainInbox(context);
   DriveOccurrences(context);
-  if (keep) {
+  if (check_timeouts) {
     DriveJobs(context);
     DriveCallers(context);
     ReviewRuns(context);
@@ -199,25 +201,26 @@
   DrivePlacement(context);
   DrainInbox(context);
   DriveProgress(context);
-  if (HasPassed(context.now, drive.forgot_at, kForgetInterval)) {
-    drive.forgot_at = context.now;
+  if (HasPassed(context.now, drive.expired_at, kExpiryInterval)) {
+    drive.expired_at = context.now;
     DriveWorkerList(context);
     ForgetEnded(context);
     ForgetUnused(context);
   }
   DriveWriter(context);
   DriveDigests(context);
-  DriveNotices(context);
+  DriveConditionLog(context);
   DriveStop(context);
   DrainInbox(context);
 }
 
-// Calls between instances are numbered from another place in each life. The
-// answer to a call of a former life at the same address would else be taken for
-// that of a present one, and the cancel of another job be acknowledged by it.
+// Each incarnation numbers its calls to other instances from another start. A
+// late reply to a call of an earlier incarnation at the same address would
+// otherwise be matched to a present call, and acknowledge the cancel of another
+// job.
 std::uint64_t FirstCall(const std::string& incarnation) {
-  constexpr int kBitsLeft = 24;  // 40 bits stay, exact in any JSON number
-  return XXH64(incarnation.data(), incarnation.size(), 0) >> kBitsLeft;
+  constexpr int kDroppedBits = 24;  // the 40 that stay are exact in JSON
+  return XXH64(incarnation.data(), incarnation.size(), 0) >> kDroppedBits;
 }
 
 }  // namespace
@@ -225,7 +228,7 @@
 State MakeState(EngineOptions options) {
   State state;
   state.random.seed(options.seed);
-  state.last_question = FirstCall(options.self.incarnation);
+  state.last_query = FirstCall(options.self.incarnation);
   state.advice.last_call = FirstCall(options.self.incarnation);
   state.options = std::move(options);
   return state;
@@ -258,7 +261,8 @@
 
 bool IsReady(const State& state) {
   return state.configuration.version != 0 && IsRegistered(state) &&
-         ListsAreRead(state) && !state.stop.asked && !StoreIsAway(state);
+         ListsAreRead(state) && !state.stop.requested &&
+         !StoreIsUnavailable(state);
 }
 
 }  // namespace burdockrock::engine
--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -48,10 +48,10 @@
     JobSpec spec = OneStep(1, 100);
     spec.steps[0].lasting = lasting;
     submitted_[job] = {.at = fleet_.now(), .node = node};
-    fleet_.Ask(node, {.question = CallerQuestion::kSubmit,
-                      .host = "h",
-                      .path = fmt::format("/{}/{}", queue, job),
-                      .spec = spec});
+    fleet_.SendRequest(node, {.query = CallerQuery::kSubmit,
+                              .host = "h",
+                              .path = fmt::format("/{}/{}", queue, job),
+                              .spec = spec});
   }
 
   std::vector<Duration> Of(const std::string& queue) const {
@@ -126,7 +126,9 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(300)});
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(800); };
+  fleet.advice_duration = [](const AdviceRequest&) {
+    return milliseconds(800);
+  };
   std::string sender;
   std::string receiver;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
@@ -152,9 +154,9 @@
       [&] { return fleet.state(sender).members.present.contains(next); },
       seconds(1)));
   fleet.Run(milliseconds(200));
-  const auto& queries = fleet.state(sender).advice.questions;
+  const auto& queries = fleet.state(sender).advice.queries;
   REQUIRE(queries.size() == 1);
-  CHECK(queries.begin()->second.asked > killed);
+  CHECK(queries.begin()->second.sent_at > killed);
 }
 
 // Guards against calls for lost instances. When 18 instances had lost power,
@@ -164,12 +166,12 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(500);
   };
   for (const char* it : {"j1.0.0", "j2.0.0"}) {
-    fleet.Tell("n0", "n1-1",
+    fleet.DeliverPeerMessage("n0", "n1-1",
                PeerAdviceRequest{.call = 1,
                                  .step = it,
                                  .expected = milliseconds(500),
@@ -193,7 +195,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("u", 0, kShort);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     const AdvicePolicy& policy = it.step.starts_with("u") ? kShort : kLong;
     return policy.decision +
            policy.each * static_cast<std::int64_t>(it.workers.size());
@@ -235,7 +237,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("r", 2);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return kLong.decision +
            kLong.each * static_cast<std::int64_t>(it.workers.size());
   };
@@ -260,9 +262,11 @@
 TEST_CASE("A member that receives advice late reports a longer wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
-  fleet.advice_takes = [&](const AdviceRequest&) { return milliseconds(600); };
+  fleet.advice_duration = [&](const AdviceRequest&) {
+    return milliseconds(600);
+  };
   for (std::uint64_t it = 0; it < 4; ++it) {
-    fleet.Tell("n0", "n1-1",
+    fleet.DeliverPeerMessage("n0", "n1-1",
                PeerAdviceRequest{.call = it + 1,
                                  .step = fmt::format("j{}.0.0", it),
                                  .expected = milliseconds(40),
@@ -286,7 +290,7 @@
   fleet.SetQueue(QueueOf(kLong));
   fleet.AddQueue("l", 1);
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return kLong.decision +
            kLong.each * static_cast<std::int64_t>(it.workers.size());
   };
@@ -311,12 +315,12 @@
   fleet.Settle();
   fleet.Run(milliseconds(300));
   const Time now = fleet.now();
-  fleet.Tell("n0", "n1-1",
-             AdviceReply{.call = 999,
-                         .wait = milliseconds(700),
-                         .urgent_wait = milliseconds(40)});
+  fleet.DeliverPeerMessage("n0", "n1-1",
+                           AdviceReply{.call = 999,
+                                       .wait = milliseconds(700),
+                                       .urgent_wait = milliseconds(40)});
   const AdviceState& advice = fleet.state("n0").advice;
-  CHECK(advice.heard.at("n1-1") >= now);
+  CHECK(advice.reported_at.at("n1-1") >= now);
   CHECK(advice.waits.at("n1-1") == milliseconds(700));
   CHECK(advice.urgent_waits.at("n1-1") == milliseconds(40));
 }
@@ -327,11 +331,11 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(20);
   };
-  fleet.Tell("n0", "n9-1",
+  fleet.DeliverPeerMessage("n0", "n9-1",
              PeerAdviceRequest{.call = 1,
                                .step = "j1.0.0",
                                .expected = milliseconds(20),
--- a/Tests/engine/advice_test.cc
+++ b/Tests/engine/advice_test.cc
@@ -71,7 +71,7 @@
   fleet.Run(seconds(6));
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 1);
   CHECK(CountRuns(fleet, "j1") == 31);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against a job that never starts although most of the room of its 13
@@ -119,12 +119,13 @@
   Fleet fleet({.advice = true});
   fleet.Settle();
   std::vector<std::string> steps;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     steps.push_back(it.step);
     return milliseconds(100);
   };
   for (std::uint64_t it = 0; it < 5; ++it) {
-    fleet.Tell("n0", "n1-1",
+    fleet.DeliverPeerMessage(
+        "n0", "n1-1",
                PeerAdviceRequest{.call = it + 1,
                                  .step = "j" + std::to_string(it) + ".0.0",
                                  .expected = milliseconds(100),
@@ -158,7 +159,7 @@
                                          .each = milliseconds(10),
                                          .valid = milliseconds(2000)}});
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest& it) {
+  fleet.advice_duration = [](const AdviceRequest& it) {
     return milliseconds(700) +
            milliseconds(10) * static_cast<std::int64_t>(it.workers.size());
   };
@@ -202,7 +203,7 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(1000)});
   std::vector<std::size_t> named;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     named.push_back(it.workers.size());
     return milliseconds(200) +
            milliseconds(3) * static_cast<std::int64_t>(it.workers.size());
@@ -256,7 +257,7 @@
   fleet.Settle();
   std::size_t calls = 0;
   Duration time{0};
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     const Duration takes =
         policy.decision +
         policy.each * static_cast<std::int64_t>(it.workers.size());
@@ -318,7 +319,7 @@
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(6)});
   std::size_t calls = 0;
-  fleet.advice_takes = [&](const AdviceRequest&) {
+  fleet.advice_duration = [&](const AdviceRequest&) {
     ++calls;
     return milliseconds(600);
   };
@@ -337,7 +338,9 @@
   Fleet fleet({.workers = 12, .advice = true});
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(500)});
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(300); };
+  fleet.advice_duration = [](const AdviceRequest&) {
+    return milliseconds(300);
+  };
   fleet.Submit("n0", "j1", Chain(2, 10));
   fleet.Run(milliseconds(1600));
   CHECK(CountEnds(fleet, RunEnd::kDone) == 20);
@@ -366,7 +369,7 @@
                                          .each = milliseconds(1),
                                          .valid = milliseconds(2500)}});
   fleet.Settle();
-  fleet.advice_takes = [](const AdviceRequest&) { return milliseconds(45); };
+  fleet.advice_duration = [](const AdviceRequest&) { return milliseconds(45); };
   fleet.allows = [](const std::string& step, const std::string& worker) {
     return std::hash<std::string>()(step + worker) % 10 < 7;
   };
@@ -417,7 +420,7 @@
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, "j1") == 10);
   std::size_t calls = 0;
-  fleet.advice_takes = [&](const AdviceRequest& it) {
+  fleet.advice_duration = [&](const AdviceRequest& it) {
     calls += it.step.starts_with("j2") ? 1 : 0;
     return milliseconds(700);
   };
--- a/Tests/engine/messages_test.cc
+++ b/Tests/engine/messages_test.cc
@@ -46,7 +46,7 @@
   fleet.Run(seconds(5));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(stops.sent.size() == 0);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Whether `node` knows the current room of all workers of `owner`.
@@ -123,7 +123,7 @@
                   [](const OfferAnswers& it) { return !it.rooms.empty(); });
   CHECK(reported);
   CHECK(CountRuns(fleet, "j2") == 32);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // In a large fleet the reported waits for the advice service are old. If all
@@ -154,8 +154,8 @@
 TEST_CASE("An advice reply reports the member's wait") {
   Fleet fleet({.advice = true});
   fleet.Settle();
-  fleet.Tell("n1", "n0-1",
-             RoomDigest{.sequence = 1, .advice_wait = seconds(2)});
+  fleet.DeliverPeerMessage(
+      "n1", "n0-1", RoomDigest{.sequence = 1, .advice_wait = seconds(2)});
   CHECK(fleet.state("n1").advice.waits.at("n0-1") == seconds(2));
   std::vector<AdviceReply> replies;
   fleet.on_peer = [&](const std::string& from, const SendPeer& send) {
@@ -212,7 +212,7 @@
 TEST_CASE("A member that knows a job's former owner learns the present one") {
   Fleet fleet;
   fleet.Settle();
-  fleet.Tell("n1", "n2-1", AdoptQuery{.jobs = {{"j1", 1}}});
+  fleet.DeliverPeerMessage("n1", "n2-1", AdoptQuery{.jobs = {{"j1", 1}}});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from == "n0" && to == "n1";
   };
@@ -221,7 +221,7 @@
   fleet.is_cut = [](const std::string&, const std::string&) { return false; };
   fleet.Run(seconds(5));
   CHECK(fleet.StateOf("n0", "j1") == JobState::kCompleted);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // A member of the previous release reports one wait for calls of any priority.
--- a/Tests/engine/recovery_list_test.cc
+++ b/Tests/engine/recovery_list_test.cc
@@ -23,10 +23,10 @@
   fleet.store_fault = [=](const std::string& node, const StoreRequest&) {
     return is_cut_off(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [=](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
-    return is_cut_off(node) != is_cut_off(worker) ? OrderFault::kUnreached
-                                                  : OrderFault::kNone;
+  fleet.command_fault = [=](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
+    return is_cut_off(node) != is_cut_off(worker) ? CommandFault::kUnreached
+                                                  : CommandFault::kNone;
   };
 }
 
@@ -40,7 +40,7 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(30)});
-  const std::string job = JobFor(fleet, "n0");
+  const std::string job = JobAdoptedBy(fleet, "n0");
   fleet.Submit("n0", job, OneStep(36));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == 36);
@@ -56,7 +56,7 @@
   REQUIRE(fleet.state("n0").jobs.contains(job));
   CHECK(fleet.state("n0").jobs.at(job).recovering);
   fleet.Run(seconds(3));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against recovery that waits without need. 18 of 30 instances lost
@@ -69,7 +69,7 @@
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(60)});
-  const std::string job = JobFor(fleet, "n0");
+  const std::string job = JobAdoptedBy(fleet, "n0");
   fleet.Submit("n0", job, OneStep(36));
   fleet.Run(seconds(26));
   REQUIRE(CountRuns(fleet, job) == 36);
@@ -82,7 +82,7 @@
   CHECK_FALSE(fleet.state("n0").jobs.at(job).recovering);
   fleet.Run(seconds(3));
   CHECK(CountRuns(fleet, job) == 36);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/recovery_messages_test.cc
+++ b/Tests/engine/recovery_messages_test.cc
@@ -41,7 +41,7 @@
     CHECK(fleet.StateOf("n0", "j" + it) == JobState::kCompleted);
   }
   CHECK(queries <= 9 * 8 * 3);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against queries that can't be answered yet. A failure domain with a
@@ -77,10 +77,10 @@
   fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
     return is_cut_off(node) ? StoreFault::kRefuse : StoreFault::kNone;
   };
-  fleet.order_fault = [&](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
-    return is_cut_off(node) != is_cut_off(worker) ? OrderFault::kUnreached
-                                                  : OrderFault::kNone;
+  fleet.command_fault = [&](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
+    return is_cut_off(node) != is_cut_off(worker) ? CommandFault::kUnreached
+                                                  : CommandFault::kNone;
   };
   fleet.Run(seconds(3));
   for (const std::string& it : fleet.worker_names()) {
@@ -100,13 +100,15 @@
   fleet.store_fault = [](const std::string&, const StoreRequest&) {
     return StoreFault::kNone;
   };
-  fleet.order_fault = [](const std::string&, const std::string&,
-                         const WorkerRequest&) { return OrderFault::kNone; };
+  fleet.command_fault = [](const std::string&, const std::string&,
+                           const WorkerRequest&) {
+    return CommandFault::kNone;
+  };
   fleet.Run(seconds(8));
   for (const std::string& it : fleet.nodes()) {
     CHECK(fleet.StateOf("n0", "j" + it) == JobState::kCompleted);
   }
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 }  // namespace
--- a/Tests/engine/takeover_review_test.cc
+++ b/Tests/engine/takeover_review_test.cc
@@ -48,8 +48,8 @@
 auto UnreachableFrom(const std::set<std::string>& nodes) {
   return [nodes](const std::string& node, const std::string& worker,
                  const WorkerRequest&) {
-    return worker == "w0" && nodes.contains(node) ? OrderFault::kUnreached
-                                                  : OrderFault::kNone;
+    return worker == "w0" && nodes.contains(node) ? CommandFault::kUnreached
+                                                  : CommandFault::kNone;
   };
 }
 
@@ -72,10 +72,10 @@
       return StoreFault::kRefuse;
     }
     return node == other && watch_stalled && WatchesMembers(it)
-               ? StoreFault::kSilent
+               ? StoreFault::kNoReply
                : StoreFault::kNone;
   };
-  fleet.order_fault = UnreachableFrom({"n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n1", "n2"});
   fleet.Run(milliseconds(1300));
   watch_stalled = true;
   const auto has_lapsed = [&] {
@@ -88,7 +88,7 @@
   fleet.Run(seconds(5));
   CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // n0 loses its registration and its answers from w0. Queried by the next owner,
@@ -109,19 +109,19 @@
       return StoreFault::kRefuse;
     }
     return node == successor && watch_stalled && WatchesMembers(it)
-               ? StoreFault::kSilent
+               ? StoreFault::kNoReply
                : StoreFault::kNone;
   };
-  fleet.order_fault = [&](const std::string& node, const std::string& worker,
-                          const WorkerRequest&) {
+  fleet.command_fault = [&](const std::string& node, const std::string& worker,
+                            const WorkerRequest&) {
     if (worker != "w0") {
-      return OrderFault::kNone;
+      return CommandFault::kNone;
     }
     if (node != "n0") {
-      return OrderFault::kUnreached;
+      return CommandFault::kUnreached;
     }
-    return fleet.now() < begin + return_after ? OrderFault::kLoseAnswer
-                                              : OrderFault::kNone;
+    return fleet.now() < begin + return_after ? CommandFault::kLoseAnswer
+                                              : CommandFault::kNone;
   };
   if (watch_delay > Duration(0)) {
     fleet.Run(return_after - milliseconds(1300));
@@ -136,7 +136,7 @@
   }
   fleet.Run(seconds(8));
   INFO("back after " << ToMilliseconds(return_after) << " ms");
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 TEST_CASE("A member that released a worker and owns it again is noticed") {
@@ -175,7 +175,7 @@
   fleet.Kill("n0");
   fleet.Run(seconds(5));
   REQUIRE(fleet.state(successor).owned.at("w0-1").claimed);
-  fleet.order_fault = UnreachableFrom({"n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n1", "n2"});
   fleet.is_cut = [](const std::string& from, const std::string& to) {
     return from != to && (from == "n0" || to == "n0");
   };
@@ -185,7 +185,7 @@
   CHECK(fleet.state("n0").owned.at("w0-1").claimed);
   CHECK(CountLost(fleet, "w0-1") == 0);
   CHECK(CountRuns(fleet, job) == kLastingTasks);
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against a lost worker whose tasks never run again. The worker fails
@@ -197,7 +197,7 @@
 TEST_CASE("A failed worker that its new owner never saw is declared lost") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
@@ -205,10 +205,10 @@
   fleet.Run(milliseconds(500));
   fleet.Start("n0");
   fleet.Run(seconds(9));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
   fleet.Run(seconds(20));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // Guards against a worker that is declared lost too late. Its machine fails
@@ -220,16 +220,16 @@
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
     fleet.Run(milliseconds(250 * it));
-    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+    fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
     fleet.StopPlanned("n0");
     fleet.Run(milliseconds(1900));  // a call in flight is still answered
     fleet.worker("w0").Crash(fleet.now(), "w0-2");
     fleet.Run(milliseconds(2600));
     fleet.store.Remove("worker/w0-1");
-    fleet.Run(kBackAtWork - milliseconds(2600));
+    fleet.Run(kRestartBound - milliseconds(2600));
     INFO("stopped " << 250 * it << " ms later");
-    CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-    CheckPromises(fleet);
+    CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+    CheckInvariants(fleet);
   }
 }
 
@@ -239,14 +239,14 @@
 TEST_CASE("A worker that fails permanently with its owner is lost in time") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
-  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(milliseconds(4500));
   fleet.store.Remove("worker/w0-1");
-  fleet.Run(kBackAtWork - milliseconds(4500));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  fleet.Run(kRestartBound - milliseconds(4500));
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // Guards against an instance that waits for a reply of its own predecessor. It
@@ -258,7 +258,7 @@
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n1");
   const Time begin = fleet.now();
-  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.store_fault = [&](const std::string& node, const StoreRequest& it) {
     const bool grant = std::holds_alternative<StoreLeaseGrant>(it);
     return node == "n0" && grant && fleet.now() < begin + milliseconds(3500)
@@ -273,8 +273,8 @@
   fleet.store.Remove("worker/w0-1");
   // One lease after the registration, plus the time for claims and queries.
   fleet.Run(milliseconds(3500 + 6420 + 1500 - 4500));
-  CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-  CheckPromises(fleet);
+  CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+  CheckInvariants(fleet);
 }
 
 // Guards against a suspended process that renews leases for too long. Its
@@ -291,12 +291,12 @@
     fleet.store_fault = [&](const std::string& node, const StoreRequest&) {
       return node == "n0" ? StoreFault::kRefuse : StoreFault::kNone;
     };
-    fleet.order_fault = UnreachableFrom({"n1", "n2"});
+    fleet.command_fault = UnreachableFrom({"n1", "n2"});
     fleet.Run(milliseconds(250 * it));
     fleet.Freeze("n0", kSuspended);
     fleet.Run(seconds(26));
     INFO("suspended after " << 250 * it << " ms");
-    CheckPromises(fleet);
+    CheckInvariants(fleet);
   }
 }
 
@@ -307,7 +307,7 @@
   for (const bool all_back : {true, false}) {
     Fleet fleet;
     const std::string job = BeginLasting(fleet, "n1", "n1");
-    fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+    fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
     for (const std::string& it : fleet.nodes()) {
       fleet.Kill(it);
     }
@@ -320,10 +320,10 @@
     }
     fleet.Run(milliseconds(2500));
     fleet.store.Remove("worker/w0-1");
-    fleet.Run(kBackAtWork - milliseconds(2500));
+    fleet.Run(kRestartBound - milliseconds(2500));
     INFO("all back " << all_back);
-    CHECK(AtWork(fleet, job, "w0-1").size() == kLastingTasks);
-    CheckPromises(fleet);
+    CHECK(RunningTasks(fleet, job, "w0-1").size() == kLastingTasks);
+    CheckInvariants(fleet);
   }
 }
 
@@ -342,27 +342,27 @@
   PlanAll(fleet, {.endless = true});
   fleet.Kill("n0");
   fleet.Run(seconds(4));
-  fleet.order_fault = UnreachableFrom({"n0", "n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n0", "n1", "n2"});
   fleet.Run(seconds(4));
   fleet.store.Remove("worker/w0-1");
   REQUIRE(fleet.RunUntil([&] { return CountLost(fleet, "w0-1") == 1; },
                          seconds(12)));
-  fleet.order_fault = UnreachableFrom({});
+  fleet.command_fault = UnreachableFrom({});
   fleet.Start("n0");
   fleet.Run(milliseconds(500));
   fleet.store.Put("worker/w0-1", kEntryOfW0);
   fleet.Run(seconds(2));
   REQUIRE(fleet.state("n0").owned.at("w0-1").claimed);
   CHECK(fleet.state(successor).view.at("w0-1").accepting);
-  CHECK_FALSE(fleet.state(successor).view.at("w0-1").gone);
+  CHECK_FALSE(fleet.state(successor).view.at("w0-1").lost);
   const std::string job = "j1";
   fleet.Submit("n0", job, Lasting(kLastingTasks));
   fleet.Run(seconds(1));
   REQUIRE(CountRuns(fleet, job) == kLastingTasks);
-  fleet.order_fault = UnreachableFrom({"n1", "n2"});
+  fleet.command_fault = UnreachableFrom({"n1", "n2"});
   fleet.Kill("n0");
   fleet.Run(seconds(8));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against a recovery that ends too early. A worker can't reach the
@@ -373,7 +373,7 @@
 TEST_CASE("A recovery waits for a report of each member") {
   Fleet fleet({.instances = 3, .workers = 3});
   fleet.Settle();
-  const std::string job = JobFor(fleet, "n2");
+  const std::string job = JobAdoptedBy(fleet, "n2");
   PlanAll(fleet, {.endless = true});
   fleet.Submit("n1", job, Lasting(12));
   fleet.Run(seconds(1));
@@ -393,7 +393,7 @@
   fleet.Run(seconds(6));
   cut = false;
   fleet.Run(seconds(3));
-  CheckPromises(fleet);
+  CheckInvariants(fleet);
 }
 
 // Guards against an adoption query that is taken for a repeated one. A stop
@@ -404,15 +404,17 @@
   Fleet fleet;
   fleet.Settle();
   const std::string job = "j1";
-  fleet.Tell("n0", "n1-1", AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
+  fleet.DeliverPeerMessage("n0", "n1-1",
+                           AdoptQuery{.jobs = {{.job = job, .generation = 2}}});
   fleet.Run(seconds(3));
   const Time queried_at = fleet.now();
-  fleet.Tell("n0", "n2-1",
-             TaskStops{.stops = {{.task = job + ".0.0.0",
-                                  .run = 1,
-                                  .worker = "w0-1",
-                                  .generation = 3}}});
-  fleet.Tell("n0", "n2-1", AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
+  fleet.DeliverPeerMessage("n0", "n2-1",
+                           TaskStops{.stops = {{.task = job + ".0.0.0",
+                                                .run = 1,
+                                                .worker = "w0-1",
+                                                .generation = 3}}});
+  fleet.DeliverPeerMessage("n0", "n2-1",
+                           AdoptQuery{.jobs = {{.job = job, .generation = 3}}});
   CHECK(fleet.state("n0").known.at(job).adopted >= queried_at);
 }
 
