--- a/Source/engine/calls.h
+++ b/Source/engine/calls.h
@@ -118,7 +118,7 @@
 };
 
 // The lease or key does not exist, or the store no longer has the history that
-// the watch asks for.
+// the watch requires.
 struct StoreAbsent {
   auto operator<=>(const StoreAbsent&) const = default;
 };
--- a/Source/engine/limits.h
+++ b/Source/engine/limits.h
@@ -162,8 +162,8 @@
 // after the last change, and then at the longer interval.
 inline constexpr Duration kDigestRepeatDelay = milliseconds(1000);
 inline constexpr Duration kDigestKeepalive = milliseconds(5000);
-// A member whose digest was missed is asked again for a full one after this
-// long.
+// After a missed digest, a full one is requested from the member again after
+// this long.
 inline constexpr Duration kFullDigestRetryDelay = milliseconds(400);
 // Resolution of the engine's timers.
 inline constexpr Duration kTick = milliseconds(25);
--- a/Tests/engine/chaos_test.cc
+++ b/Tests/engine/chaos_test.cc
@@ -117,14 +117,14 @@
                        .endless = lasts && chance != 0};
       };
     }
-    fleet_.command_fault = [this, orders = fleet_.command_fault](
+    fleet_.command_fault = [this, commands = fleet_.command_fault](
                                const std::string& node,
                                const std::string& worker,
                                const WorkerRequest& request) {
       const bool start = std::holds_alternative<StartRun>(request);
       return commands_faulty_ && start && Pick(0, 4) == 0
                  ? CommandFault::kUnhealthy
-                 : orders(node, worker, request);
+                 : commands(node, worker, request);
     };
     fleet_.is_cut = [this, cut = fleet_.is_cut](const std::string& from,
                                                 const std::string& to) {
--- a/Tests/engine/fleet.cc
+++ b/Tests/engine/fleet.cc
@@ -128,9 +128,9 @@
   now_ = until;
 }
 
-bool Fleet::RunUntil(const std::function<bool()>& holds, Duration span) {
+bool Fleet::RunUntil(const std::function<bool()>& condition, Duration span) {
   const Time until = now_ + span;
-  while (!holds()) {
+  while (!condition()) {
     if (now_ >= until) {
       return false;
     }
@@ -375,13 +375,14 @@
       target == nullptr || unresponsive_.contains(call.address)
           ? CommandFault::kUnreached
           : command_fault(node, call.address, call.request);
-  const Time asked = now_;
-  const auto answer = [this, node, incarnation, call, asked](WorkerAnswer it) {
+  const Time called_at = now_;
+  const auto answer = [this, node, incarnation, call,
+                       called_at](WorkerAnswer it) {
     Deliver(node, incarnation,
             WorkerAnswered{.worker = call.worker,
                            .request = call.request,
                            .answer = std::move(it),
-                           .called_at = asked});
+                           .called_at = called_at});
   };
   if (fault == CommandFault::kUnhealthy) {
     return At(now_ + 2 * worker_latency, [answer] {
@@ -394,19 +395,20 @@
   if (fault == CommandFault::kUnreached) {
     return;
   }
-  const Duration way =
+  const Duration latency =
       fault == CommandFault::kLate ? late_delay : worker_latency;
-  At(now_ + way, [this, node, incarnation, call, asked, answer, fault, target] {
+  At(now_ + latency, [this, node, incarnation, call, called_at, answer, fault,
+                      target] {
     if (target->info().id != call.worker) {
       return answer(WorkerRefused{.kind = WorkerRefusalKind::kReplaced});
     }
-    const auto* hold = std::get_if<PollWorker>(&call.request);
-    if (hold != nullptr && fault == CommandFault::kNone) {
-      return AnswerPoll(node, incarnation, call, asked, now_ + hold->wait);
+    const auto* poll = std::get_if<PollWorker>(&call.request);
+    if (poll != nullptr && fault == CommandFault::kNone) {
+      return AnswerPoll(node, incarnation, call, called_at, now_ + poll->wait);
     }
     const auto result = target->Handle(now_, call.request);
     if (fault == CommandFault::kNone) {
-      AnswerInTime(asked + call.timeout, *result, answer);
+      AnswerInTime(called_at + call.timeout, *result, answer);
     }
   });
 }
@@ -414,30 +416,30 @@
 void Fleet::AnswerPoll(const std::string& node,
                        std::uint64_t incarnation,
                        const CallWorker& call,
-                       Time asked,
+                       Time called_at,
                        Time until) {
   FakeWorker* target = FindWorkerAt(call.address);
-  PollWorker hold = std::get<PollWorker>(call.request);
+  PollWorker poll = std::get<PollWorker>(call.request);
   std::optional<WorkerAnswer> result;
   if (target->info().id != call.worker) {
     result = WorkerRefused{.kind = WorkerRefusalKind::kReplaced};
   } else {
-    hold.wait = now_ >= until ? Duration(0) : hold.wait;
-    result = target->Handle(now_, hold);
+    poll.wait = now_ >= until ? Duration(0) : poll.wait;
+    result = target->Handle(now_, poll);
   }
   if (!result) {
     return At(now_ + kCheckInterval,
-              [this, node, incarnation, call, asked, until] {
-                AnswerPoll(node, incarnation, call, asked, until);
+              [this, node, incarnation, call, called_at, until] {
+                AnswerPoll(node, incarnation, call, called_at, until);
               });
   }
-  AnswerInTime(asked + call.timeout, *result,
-               [this, node, incarnation, call, asked](WorkerAnswer it) {
+  AnswerInTime(called_at + call.timeout, *result,
+               [this, node, incarnation, call, called_at](WorkerAnswer it) {
                  Deliver(node, incarnation,
                          WorkerAnswered{.worker = call.worker,
                                         .request = call.request,
                                         .answer = std::move(it),
-                                        .called_at = asked});
+                                        .called_at = called_at});
                });
 }
 
--- a/Tests/engine/fleet.h
+++ b/Tests/engine/fleet.h
@@ -63,8 +63,9 @@
   void Settle();
   void Run(Duration span);
 
-  // Runs until `holds`, for `span` at most. Returns whether it holds.
-  bool RunUntil(const std::function<bool()>& holds, Duration span);
+  // Runs until the condition holds, for `span` at most. Returns whether it
+  // does.
+  bool RunUntil(const std::function<bool()>& condition, Duration span);
 
   void Kill(const std::string& node);
   // Starts the process, for the first time or again, without state.
@@ -205,8 +206,8 @@
   void HandleAdviceCall(const std::string& node, const CallAdvice& call);
   void HandleMachineCall(const std::string& node, const CallMachines& call);
   MachineAnswer ListAllMachines() const;
-  MachineAnswer Move(const MoveMachine& order);
-  MachineAnswer TakeDown(const BeginUpkeep& order);
+  MachineAnswer Move(const MoveMachine& command);
+  MachineAnswer TakeDown(const BeginUpkeep& command);
   void HandlePeerSend(const std::string& node, const SendPeer& send);
   void AnswerWatch(const std::string& node,
                    std::uint64_t incarnation,
@@ -215,7 +216,7 @@
   void AnswerPoll(const std::string& node,
                   std::uint64_t incarnation,
                   const CallWorker& call,
-                  Time asked,
+                  Time called_at,
                   Time until);
   // Answers with WorkerUnreached if the reply would arrive after the deadline.
   void AnswerInTime(Time deadline,
--- a/Tests/engine/fleet_machines.cc
+++ b/Tests/engine/fleet_machines.cc
@@ -40,10 +40,11 @@
     Deliver(node, incarnation,
             MachinesAnswered{.request = call.request, .answer = std::move(it)});
   };
-  const auto* order = std::get_if<BeginUpkeep>(&call.request);
-  if (order != nullptr && lost_machine_replies > 0) {
+  const auto* command = std::get_if<BeginUpkeep>(&call.request);
+  if (command != nullptr && lost_machine_replies > 0) {
     --lost_machine_replies;
-    At(now_ + milliseconds(2), [this, order = *order] { TakeDown(order); });
+    At(now_ + milliseconds(2),
+       [this, command = *command] { TakeDown(command); });
     return At(now_ + call.timeout, [answer] { answer(MachineUnanswered()); });
   }
   At(now_ + milliseconds(2), [this, call, answer] {
@@ -71,13 +72,13 @@
 
 // The machine's worker is removed at once and one of the new pool starts 1.5 s
 // later; in standby, the machine is off.
-MachineAnswer Fleet::Move(const MoveMachine& order) {
-  FakeWorker& worker = *workers_.at(order.machine);
+MachineAnswer Fleet::Move(const MoveMachine& command) {
+  FakeWorker& worker = *workers_.at(command.machine);
   const std::string old_id = worker.info().id;
   store.Remove("worker/" + old_id);
-  worker.Crash(now_, fmt::format("{}-moved{}", order.machine, ++moves));
-  worker.info().service = order.pool;
-  if (order.pool != kStandby) {
+  worker.Crash(now_, fmt::format("{}-moved{}", command.machine, ++moves));
+  worker.info().service = command.pool;
+  if (command.pool != kStandby) {
     At(now_ + milliseconds(1500), [this, &worker] { ListWorker(worker); });
   }
   return MachineTaken{};
@@ -85,17 +86,17 @@
 
 // The machine's worker is removed at once and a new incarnation starts 2 s
 // later.
-MachineAnswer Fleet::TakeDown(const BeginUpkeep& order) {
-  const auto it = workers_.find(order.machine);
+MachineAnswer Fleet::TakeDown(const BeginUpkeep& command) {
+  const auto it = workers_.find(command.machine);
   if (it == workers_.end()) {
     return MachineRefused{.kind = MachineRefusalKind::kInvalid};
   }
-  std::uint64_t& fence = machine_fences_[order.machine];
-  if (order.fence < fence) {
+  std::uint64_t& fence = machine_fences_[command.machine];
+  if (command.fence < fence) {
     return MachineRefused{.kind = MachineRefusalKind::kFenced};
   }
-  fence = order.fence;
-  if (down_until_.contains(order.machine)) {
+  fence = command.fence;
+  if (down_until_.contains(command.machine)) {
     return MachineTaken{};
   }
   FakeWorker& worker = *it->second;
@@ -104,11 +105,11 @@
     down += until > now_ ? 1 : 0;
   }
   most_down = std::max(most_down, down);
-  taken_down.push_back(order.machine);
-  down_until_[order.machine] = now_ + std::chrono::seconds(2);
+  taken_down.push_back(command.machine);
+  down_until_[command.machine] = now_ + std::chrono::seconds(2);
   const std::string old_id = worker.info().id;
-  worker.Crash(now_, order.machine + "-upkept");
-  unresponsive_.insert(order.machine);
+  worker.Crash(now_, command.machine + "-upkept");
+  unresponsive_.insert(command.machine);
   At(now_ + std::chrono::seconds(2), [this, &worker, old_id] {
     unresponsive_.erase(worker.info().address);
     store.Remove("worker/" + old_id);
--- a/Tests/engine/lasting_job.cc
+++ b/Tests/engine/lasting_job.cc
@@ -34,10 +34,10 @@
 
 std::set<std::string> RunningTasks(const Fleet& fleet,
                                    const std::string& job,
-                                   const std::string& dead) {
+                                   const std::string& lost_worker) {
   std::set<std::string> tasks;
   for (const SeenRun& it : fleet.seen) {
-    const bool runs = it.ended == kForever && it.worker != dead;
+    const bool runs = it.ended == kForever && it.worker != lost_worker;
     if (runs && it.task.starts_with(job + ".")) {
       tasks.insert(it.task);
     }
--- a/Tests/engine/lasting_job.h
+++ b/Tests/engine/lasting_job.h
@@ -32,10 +32,10 @@
                          const std::string& owner,
                          const std::string& heir);
 
-// Tasks of the job that run, except at the worker `dead`.
+// Tasks of the job that run, except at the worker `lost_worker`.
 std::set<std::string> RunningTasks(const Fleet& fleet,
                                    const std::string& job,
-                                   const std::string& dead);
+                                   const std::string& lost_worker);
 
 }  // namespace burdockrock::engine
 
