--- a/Source/engine/workers/end_log.cc
+++ b/Source/engine/workers/end_log.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A longer value would be cut in the log (kMaxLogValueBytes).
+// Longer values would be truncated in the log (kMaxLogValueBytes).
 constexpr std::size_t kMaxValueBytes = 480;
-// Of the runs of one step on one worker; a job's id takes up to 64 bytes more.
+// For the runs of one step on one worker. A job's id takes up to 64 bytes more.
 constexpr std::size_t kMaxRunsBytes = 320;
 static_assert(kMaxValueBytes < kMaxLogValueBytes);
 
@@ -19,7 +19,7 @@
   return span ? std::to_string(ToMilliseconds(*span)) : "-";
 }
 
-// Of a run that was not known here nothing is.
+// The estimate is unknown when the run was not known here.
 std::string EstimateText(const std::optional<Duration>& took,
                          Duration estimate) {
   return took ? std::to_string(ToMilliseconds(estimate)) : "-";
@@ -76,7 +76,7 @@
     for (const std::string& runs : ListRuns(it)) {
       const std::string group =
           fmt::format("@{}:{}/{}", key.worker, runs, SpanText(it.longest));
-      // A blank, and the step when it is another one.
+      // A blank, and the head when it differs from the last one.
       const std::size_t added = head.size() + 1 + group.size();
       if (!text.empty() && text.size() + added > kMaxValueBytes) {
         lines.push_back(DoneLine(std::exchange(text, "")));
--- a/Source/engine/workers/end_log.h
+++ b/Source/engine/workers/end_log.h
@@ -1,4 +1,4 @@
-// Packs the ends of runs into few lines of the log.
+// Combines the ends of runs into few log lines.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_END_LOG_H_
 #define BURDOCKROCK_ENGINE_WORKERS_END_LOG_H_
 
@@ -29,20 +29,22 @@
   Duration estimate{0};
 };
 
-// Packs ends of runs into few lines: one for each would be most of the log.
+// Combines ends of runs into few lines. With a line for each they would make up
+// most of the log.
 class EndLog {
  public:
   void Add(Time now, const LoggedEnd& end);
 
-  // Lines of runs that did not end done, one for each step, worker and kind of
-  // end; called after each listing, so that they have its time.
+  // Returns the lines of runs that did not end `done`, one for each step,
+  // worker and kind of end. Called after each listing, so that they carry its
+  // time.
   std::vector<LogLine> TakeOthers();
 
-  // Lines of runs that ended done, once the oldest of them has waited for
-  // kDelay, or for good with `all`.
+  // Returns the lines of runs that ended `done` once the oldest of them is
+  // kDelay old, or at once with `all`.
   std::vector<LogLine> TakeDone(Time now, bool all);
 
-  // What a process that is killed leaves untold.
+  // A process that is killed loses the ends of at most this time.
   static constexpr Duration kDelay = std::chrono::milliseconds(500);
 
  private:
@@ -61,7 +63,7 @@
   using Groups = std::map<Key, Ends>;
 
   // "0,2-5,7r3": the indices of the tasks, with the number of the run where it
-  // is not the first; in several parts where one value can't hold them.
+  // is not the first. In several parts where one value can't hold them.
   static std::vector<std::string> ListRuns(const Ends& ends);
 
   Groups done_{};
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -13,16 +13,16 @@
 
 namespace {
 
-// Questions without an answer are repeated: a few times within a lease, which
-// has to pass anyway.
+// Between two queries without a reply. Allows a few within a lease, which has
+// to expire in any case.
 constexpr Duration kAskAgain = milliseconds(400);
 
-// A process goes on renewing for so long without the store.
+// From a process's last contact with the store to the end of its last leases.
 Duration LongestSpan(const Context& context) {
   return kMaxWithoutStore + LeaseSpan(context);
 }
 
-// The store's list has lacked the member since it left.
+// For a member that has left the store's list of members.
 Time EndOfDeparted(const Context& context, const DepartedMember& member) {
   const Time without_store = member.left_at + LongestSpan(context);
   if (member.replaced_at == kForever) {
@@ -31,7 +31,7 @@
   return std::min(without_store, member.replaced_at + LeaseSpan(context));
 }
 
-// Of members that left before this instance read the list first.
+// For members that left before this instance first read the list.
 Time EndOfUnknown(const Context& context) {
   const MembersState& members = context.state.members;
   if (members.known_since == kForever) {
@@ -70,7 +70,8 @@
   return IsSilent(worker) && context.now < worker.foreign_bound;
 }
 
-// This instance is the worker's owner by all that it knows, or reaches it.
+// This instance reaches the worker, or is its rightful owner by the current
+// list of members.
 bool KeepsWorker(const Context& context, const OwnedWorker& worker) {
   if (worker.claimed && !IsSilent(worker)) {
     return true;
@@ -80,7 +81,7 @@
              context.self();
 }
 
-// Whoever may have renewed leases and has not said until when.
+// Incarnations that may have renewed leases and have not reported their expiry.
 std::vector<std::string> Unheard(const Context& context,
                                  const OwnedWorker& worker) {
   std::vector<std::string> unheard;
@@ -169,7 +170,7 @@
     }
   }
   for (auto& [incarnation, query] : queries) {
-    // Also to members that the store turned away and that may go on renewing.
+    // Sent directly, since members that the store has removed may still renew.
     context.Emit(SendPeer{.to = incarnation,
                           .address = AddressOf(context.state, incarnation),
                           .message = std::move(query)});
@@ -186,8 +187,8 @@
       if (KeepsWorker(context, owned->second)) {
         continue;
       }
-      // After this answer no lease may be renewed any more: the asker counts
-      // what runs there as ended when it is over.
+      // No lease may be renewed after this reply: the querying member treats
+      // the runs there as ended once the reported leases have expired.
       LoseWorker(context, it.worker);
     }
     report.ends.push_back(
--- a/Source/engine/workers/lease_bounds.h
+++ b/Source/engine/workers/lease_bounds.h
@@ -1,5 +1,5 @@
-// When the leases have run out that other processes renewed at a worker which
-// can't be reached. Until then what runs there may go on.
+// Computes when the leases that other processes renewed at an unreachable
+// worker have expired. Until then its runs may continue.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_LEASE_BOUNDS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_LEASE_BOUNDS_H_
 
@@ -9,26 +9,28 @@
 
 namespace burdockrock::engine {
 
-// A lease that is renewed now has run out after this long for certain, by any
-// worker's clock.
+// The time after which a lease that is renewed now has expired by any worker's
+// clock.
 Duration LeaseSpan(const Context& context);
 
-// Somebody else may have renewed leases there, until now at least. What was
-// told about it before counts no more.
+// Assumes that other processes have renewed leases at the worker until now, and
+// discards earlier lease reports.
 void SuspectLeases(Context& context, OwnedWorker& worker);
 
-// Never later than what holds for the longest time in which another process may
-// renew leases; sooner when all that may have done so have said until when, or
-// are known to have ended.
+// When the leases that other processes may have renewed have expired. Bounded
+// by the longest time for which a process renews leases without the store;
+// sooner when every such process has reported its expiry or is known to have
+// ended.
 Time ForeignLeasesEnd(const Context& context, const OwnedWorker& worker);
 
-// This instance owns the worker no more; its last leases end at `end`.
+// Remembers that the leases of a worker that this instance no longer owns end
+// at `end`.
 void RememberLease(Context& context, const std::string& worker, Time end);
 
-// Of leases from an earlier ownership.
+// The end of leases from an earlier ownership; 0 when there are none.
 Time ReleasedLeaseEnd(const Context& context, const std::string& worker);
 
-// Asks the others about the workers that can't be reached, as due.
+// Queries other members about the leases of unreachable workers, as due.
 void DriveLeaseQueries(Context& context);
 
 void OnLeaseQuery(Context& context,
--- a/Source/engine/workers/owned_worker.h
+++ b/Source/engine/workers/owned_worker.h
@@ -1,4 +1,5 @@
-// A worker that this entry instance owns: what runs there and what ended.
+// The state that this entry instance keeps for each worker that it owns: its
+// lease, its runs and their ends.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_OWNED_WORKER_H_
 #define BURDOCKROCK_ENGINE_WORKERS_OWNED_WORKER_H_
 
@@ -18,52 +19,53 @@
 namespace burdockrock::engine {
 
 enum class RunPhase {
-  kBooked,        // its room is kept for a gang
-  kAwaitingRoom,  // runs are being stopped for it
-  kStarting,      // ordered, not answered
+  kBooked,        // room is reserved until the whole gang can start
+  kAwaitingRoom,  // other runs are being stopped to make room
+  kStarting,      // the start command has no reply yet
   kRunning,
   kStopping,
 };
 
-// One run at a worker, or one that may be there.
+// A run that is at the worker, or may be there because a reply is missing.
 struct LocalRun {
   std::uint64_t run = 0;
   RunPhase phase = RunPhase::kStarting;
   StepSpec spec{};
-  bool described = true;  // false: what it takes is not known yet
-  std::string owner{};    // of its job, an incarnation
+  bool described = true;  // false: `spec` is not known yet
+  std::string owner{};    // incarnation that owns the job
   std::uint64_t generation = 0;
-  Time asked_for{0};  // by the job's owner, last
+  Time asked_for{0};  // last query by the job's owner
   std::string payload{};
   std::string ticket{};
   std::string checkpoint{};
   std::uint32_t priority = 0;
-  Time since{0};               // in its phase
-  Time ordered = Time::min();  // the last order was sent
+  Time since{0};               // start of the phase
+  Time ordered = Time::min();  // last start or stop command
   bool order_in_flight = false;
-  std::uint32_t order_tries = 0;  // of the order of its phase
-  bool start_unanswered = false;  // a try of the start; it may come late
+  std::uint32_t order_tries = 0;  // commands sent in this phase
+  bool start_unanswered = false;  // a start may still take effect later
   bool stop_answered = false;
-  Time confirmed = Time::min();  // the worker said that it has it
-  bool answer_offer = false;     // the job's owner waits for an answer
+  Time confirmed = Time::min();  // the worker last confirmed the run
+  bool answer_offer = false;     // the job's owner awaits the outcome
   RunProgress progress{};
-  Time still_told = Time::min();  // that it stands still
-  std::int64_t figure = 0;
-  std::uint32_t pace = 100;
-  Time over_since = kForever;  // its tail is above its target
+  Time still_told = Time::min();  // last report that it is stalled
+  std::int64_t figure = 0;        // service figure that the worker lists
+  std::uint32_t pace = 100;       // percent of full speed
+  Time over_since = kForever;     // last change of `pace`
 };
 
+// An end that the worker lists, until the job's owner has stored it.
 struct LocalEnd {
   EndedRow row{};
-  Time told = Time::min();
-  std::uint32_t tellings = 0;
+  Time told = Time::min();     // last report to the job's owner
+  std::uint32_t tellings = 0;  // reports sent
   bool stored = false;
 };
 
-// A question about a run that is not here. A former owner of the worker that
-// does not know yet that it is one must not answer it: the run may have been
-// started by the present one. So the answer waits until the worker has taken
-// a call with the own fence that was made after the question came.
+// A query about a run that is not here. An instance that has lost the worker
+// without knowing it must not reply, since the current owner may have started
+// the run. The reply therefore waits until the worker accepts a call with this
+// instance's fence that was sent after the query arrived.
 struct OpenQuestion {
   std::string from{};
   std::string task{};
@@ -71,68 +73,69 @@
   Time came{0};
 };
 
-// What another process has said of leases at a worker.
+// When leases at a worker have expired, as reported by another process.
 struct ToldLeases {
-  Time own_end{0};     // those that it renewed itself have run out by then
-  Time others_end{0};  // those of members that it remembers, or has missed
+  Time own_end{0};     // expiry of the leases that it renewed itself
+  Time others_end{0};  // expiry of the leases of former or unknown members
 };
 
 struct OwnedWorker {
   WorkerInfo info{};
   std::uint64_t fence = 0;  // 0: not claimed yet
-  bool claimed = false;     // a hold with `fence` was answered
+  bool claimed = false;     // the worker has answered a poll with `fence`
   bool hold_in_flight = false;
   Time hold_sent{0};
-  Time hold_at{0};              // the next one
-  Time answered = Time::min();  // the last answer to a hold
-  Time proven = Time::min();    // the latest time at which it was surely owned
+  Time hold_at{0};
+  Time answered = Time::min();  // last reply to a poll
+  Time proven = Time::min();    // latest time of certain ownership
   bool proof_wanted = false;
   bool proof_in_flight = false;
   std::vector<OpenQuestion> questions{};
-  // The registration was lost since the worker answered: others may have
-  // claimed it and renewed its leases.
+  // This instance's registration was lost after the worker's last reply, so
+  // others may have claimed the worker and renewed its leases.
   bool doubted = false;
-  Time missed_since{0};       // the first hold without an answer; 0: none
-  Time silent_since{0};       // the same, once another one had none either
-  bool silence_told = false;  // in the log
-  // What this instance renewed there has ended by then.
+  Time missed_since{0};  // first poll without a reply; 0: none
+  Time silent_since{0};  // the same, once a second poll has failed
+  bool silence_told = false;
+  // Expiry of all leases that this instance renewed there.
   Time lease_bound{0};
-  // What another owner may have renewed there has ended by then, whatever the
-  // others say of their leases.
+  // Latest expiry of leases that another owner may have renewed there,
+  // regardless of what the others report.
   Time foreign_bound{0};
-  std::uint64_t lease_question = 0;          // that counts
+  std::uint64_t lease_question = 0;  // reports with other numbers are ignored
   std::map<std::string, ToldLeases> told{};  // by incarnation
-  std::int64_t clock_offset_ms = 0;          // worker's clock less ours
-  std::int64_t lease_until_ms = 0;  // asked for last; on the worker's clock
-  std::uint64_t seen = 0;           // highest end listed
-  std::uint64_t acknowledged = 0;   // ends up to here are stored
-  std::map<std::string, LocalRun> runs{};  // by task
-  std::map<std::uint64_t, LocalEnd> ends{};
-  std::uint64_t version = 0;  // of the room, for digests
+  std::int64_t clock_offset_ms = 0;          // worker's clock minus ours
+  std::int64_t lease_until_ms = 0;  // requested last; on the worker's clock
+  std::uint64_t seen = 0;           // highest sequence number of a listed end
+  std::uint64_t acknowledged = 0;   // ends up to this number are stored
+  std::map<std::string, LocalRun> runs{};    // by task
+  std::map<std::uint64_t, LocalEnd> ends{};  // by sequence number
+  std::uint64_t version = 0;                 // of the free room, for digests
   SpeedEstimate speed{};
   Time unhealthy_until = Time::min();
   std::uint32_t recent_failures = 0;  // in a row, of different jobs
-  std::string failed_job{};
+  std::string failed_job{};           // the last one counted
   Time quarantine_until = Time::min();
-  Time still_until = Time::min();    // what runs there stood still
-  Time leaving_until = Time::min();  // its machine is to go down
+  Time still_until = Time::min();    // a run there was stalled
+  Time leaving_until = Time::min();  // its machine is about to go down
 };
 
+// A worker that was declared lost, as announced to the peers.
 struct GoneWorker {
-  std::uint64_t fence = 0;
+  std::uint64_t fence = 0;  // of its last owner
   Time since{0};
 };
 
-// What is known of a job with runs or ends on own workers.
+// What a worker's owner knows about a job with runs or ends there.
 struct KnownJob {
   std::string owner{};           // an incarnation; empty: not known
-  std::uint64_t generation = 0;  // lower ones' offers are refused
-  bool ended = false;            // the store says that it has ended
-  Time adopted{0};               // when its present owner first asked what runs
-  // Runs that were reported to the owner as not here, by task.
+  std::uint64_t generation = 0;  // offers of lower generations are refused
+  bool ended = false;            // by the job's record in the store
+  Time adopted{0};  // the current owner's first query for the job's runs
+  // Highest run of each task that was reported to the owner as not here.
   std::map<std::string, std::uint64_t> refused{};
-  Time heard{0};
-  Time reviewed = Time::min();  // when its record was last asked for, unsure
+  Time heard{0};                // last message about the job
+  Time reviewed = Time::min();  // last read of the record for an unowned run
 };
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/pacing.cc
+++ b/Source/engine/workers/pacing.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A tail above this share of its target counts as disturbed: the figure is
-// rough, and it takes a while until a slower pace shows.
+// A tail latency above this share of its target counts as disturbed. Below 1,
+// as the figure is imprecise and a slower pace takes effect with a delay.
 constexpr double kDisturbed = 0.85;
-// Below this share for kCalm the filling tasks get faster again.
+// Below this share for kCalmTime the filling tasks get faster again.
 constexpr double kUndisturbed = 0.6;
 constexpr Duration kCalm = milliseconds(1500);
 constexpr std::uint32_t kFullPace = 100;
@@ -62,8 +62,8 @@
 
 }  // namespace
 
-// Down at once to a quarter and then to nothing, up again step by step: a task
-// that serves may be above its target for a few seconds only.
+// Slows down to a quarter at once and then to nothing, and speeds up again in
+// steps: a lasting task may exceed its tail target only for a few seconds.
 void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker) {
   const Strain strain = StrainOf(worker);
   for (auto& [task, run] : worker.runs) {
--- a/Source/engine/workers/pacing.h
+++ b/Source/engine/workers/pacing.h
@@ -1,4 +1,5 @@
-// Slows filling tasks down when they disturb tasks that serve.
+// Adjusts the pace of filling tasks so that they do not disturb lasting tasks
+// on the same worker that have a tail target.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_PACING_H_
 #define BURDOCKROCK_ENGINE_WORKERS_PACING_H_
 
@@ -8,6 +9,7 @@
 
 namespace burdockrock::engine {
 
+// Called after a listing of the worker was taken in.
 void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/pool_rule.cc
+++ b/Source/engine/workers/pool_rule.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Bursts of less than this are over before another machine helps.
+// Shorter bursts are over before another machine helps.
 constexpr Duration kPressureTime = std::chrono::milliseconds(3000);
-// Bursts come again within this time, and each move of a machine has a cost.
+// Bursts recur within this time, and each move of a machine has a cost.
 constexpr Duration kCalmTime = std::chrono::milliseconds(30'000);
 
 bool IsStandby(const Configuration& configuration, const std::string& pool) {
--- a/Source/engine/workers/pool_rule.h
+++ b/Source/engine/workers/pool_rule.h
@@ -1,6 +1,6 @@
-// When a machine of a standby pool is brought in, and when it is given back.
-// Pure functions: the load pattern they answer is work that waits for seconds
-// though every placement was tried, as when a season opens.
+// Decides when a machine of a standby pool is moved to a service, and when it
+// is returned. Pure functions. They target load for which jobs wait for seconds
+// although every placement was tried, as at the start of a season.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_POOL_RULE_H_
 #define BURDOCKROCK_ENGINE_WORKERS_POOL_RULE_H_
 
@@ -17,7 +17,8 @@
 
 namespace burdockrock::engine {
 
-// How long jobs of a service have waited without a break, or none has.
+// Since when jobs of a service have been waiting without a break, or since when
+// none has; the other time is kForever.
 struct PoolPressure {
   Time waiting_since = kForever;
   Time calm_since = kForever;
@@ -29,22 +30,22 @@
   const Configuration* configuration = nullptr;
   const MachineList* machines = nullptr;
   std::map<std::string, PoolPressure> pressure{};  // by service
-  // Machines that were brought in, and the pool that each came from.
+  // Machines that were moved in, and the pool that each came from.
   std::map<std::string, std::string> borrowed{};
-  // Moves that the service of machines does not allow: machine and pool.
+  // Moves that the machine service refuses as invalid: machine and pool.
   std::set<std::pair<std::string, std::string>> impossible{};
 };
 
 struct PoolMove {
   std::string machine{};
-  std::string pool{};  // to which
+  std::string pool{};  // target
   auto operator<=>(const PoolMove&) const = default;
 };
 
-// A machine to bring in now.
+// A machine to move in now.
 std::optional<PoolMove> ChooseMoveIn(const PoolView& view, Time now);
 
-// A machine to give back once nothing runs there.
+// A machine to return once it has no runs.
 std::optional<PoolMove> ChooseMoveBack(const PoolView& view, Time now);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/pools.cc
+++ b/Source/engine/workers/pools.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Between two moves: a machine that came shows its effect first.
+// Between two moves, so that the effect of the last one shows first.
 constexpr Duration kMoveInterval = milliseconds(2000);
 constexpr Duration kPrepareRepeat = milliseconds(500);
 
@@ -90,26 +90,26 @@
 }
 
 void OnMoveAnswer(Context& context,
-                  const MoveMachine& order,
+                  const MoveMachine& command,
                   const MachineAnswer& answer) {
   PoolsState& pools = context.state.pools;
-  const auto borrowed = pools.borrowed.find(order.machine);
+  const auto borrowed = pools.borrowed.find(command.machine);
   const bool back =
-      borrowed != pools.borrowed.end() && borrowed->second == order.pool;
+      borrowed != pools.borrowed.end() && borrowed->second == command.pool;
   if (const auto* refused = std::get_if<MachineRefused>(&answer)) {
     if (refused->kind == MachineRefusalKind::kInvalid) {
-      pools.impossible.insert({order.machine, order.pool});
-      pools.borrowed.erase(order.machine);
+      pools.impossible.insert({command.machine, command.pool});
+      pools.borrowed.erase(command.machine);
     }
   } else if (std::holds_alternative<MachineTaken>(answer) && back) {
     pools.borrowed.erase(borrowed);
   }
-  // Without an answer it counts as moved: the next listing tells its pool.
+  // Without a reply it counts as moved; the next listing shows its pool.
   context.Log(
       EventNumber::kMachineMoved,
-      {{"machine", order.machine},
-       {"pool", order.pool},
-       {"fence", std::to_string(order.fence)},
+      {{"machine", command.machine},
+       {"pool", command.pool},
+       {"fence", std::to_string(command.fence)},
        {"done", std::holds_alternative<MachineTaken>(answer) ? "1" : "0"}});
 }
 
--- a/Source/engine/workers/pools.h
+++ b/Source/engine/workers/pools.h
@@ -1,4 +1,5 @@
-// Brings machines of standby pools in while work waits, and gives them back.
+// Moves machines of standby pools to services whose jobs wait, and returns them
+// later.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_POOLS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_POOLS_H_
 
@@ -6,18 +7,20 @@
 
 namespace burdockrock::engine {
 
-// Whether there is a standby pool, so that machines have to be listed.
+// Whether there is a standby pool, for which machines have to be listed.
 bool HasStandby(const State& state);
 
-// What waits; at every instance, as any may get the duty.
+// Updates how long jobs of each service have been waiting. Done by every
+// instance, since any may get the upkeep duty.
 void ReviewPressure(Context& context);
 
-// A move to order now, by the one that has the duty. An emptied machine is
-// given back; until then its worker's owner is asked to empty it.
+// The move to command now, for the holder of the upkeep duty. A machine is
+// returned once it is empty; until then its worker's owner is requested to
+// empty it.
 std::optional<MoveMachine> NextMove(Context& context);
 
 void OnMoveAnswer(Context& context,
-                  const MoveMachine& order,
+                  const MoveMachine& command,
                   const MachineAnswer& answer);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/progress_rule.cc
+++ b/Source/engine/workers/progress_rule.cc
@@ -7,21 +7,22 @@
 
 namespace {
 
-// Stops of a few tenths of a second are common on busy workers.
+// Pauses of a few tenths of a second are common on busy workers.
 constexpr Duration kLeastStill = std::chrono::milliseconds(800);
-// It should have got so much further, in percent: a worker that turned eight
-// times as slow has then got one percent further, which shows.
+// Expected progress that is missing, in percent of the run. A worker that
+// became eight times slower has advanced by one percent by then, which is
+// visible.
 constexpr double kMissed = 10;
-// Less progress than this, in percent, tells little of the pace.
+// Less progress than this says little about the pace.
 constexpr std::uint32_t kLeastRise = 3;
 // A run without progress so far may take this many times its estimate:
-// estimates are too low by up to 2, and slow workers take up to 4 times as
-// long.
+// estimates are too low by a factor of up to 2, and slow workers take up to 4
+// times as long.
 constexpr int kLongestEstimate = 8;
 constexpr Duration kLeastEstimate = std::chrono::milliseconds(100);
 constexpr double kAll = 100;
 
-// In percent a nanosecond.
+// In percent per nanosecond.
 double ExpectedPace(const RunProgress& progress, Duration estimate) {
   const Duration span = progress.risen_at - progress.first_at;
   const std::uint32_t rise = progress.percent - progress.first_percent;
--- a/Source/engine/workers/progress_rule.h
+++ b/Source/engine/workers/progress_rule.h
@@ -1,4 +1,4 @@
-// Whether the work of a run goes on. A pure function of what its worker lists.
+// Decides whether a run is stalled. Pure functions of what its worker lists.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_PROGRESS_RULE_H_
 #define BURDOCKROCK_ENGINE_WORKERS_PROGRESS_RULE_H_
 
@@ -9,26 +9,28 @@
 
 namespace burdockrock::engine {
 
-// What a worker's listings have shown of one run.
+// The progress of one run as seen in its worker's listings.
 struct RunProgress {
-  Time first_at{0};  // the first listing that had it
+  Time first_at{0};  // first listing that contained it
   std::uint32_t first_percent = 0;
-  Time risen_at{0};  // the last listing in which it had got further
+  Time risen_at{0};  // last listing with an increase
   std::uint32_t percent = 0;
 
   auto operator<=>(const RunProgress&) const = default;
 };
 
 RunProgress BeginProgress(Time now, std::uint32_t percent);
+// Starts over when `percent` has decreased.
 RunProgress AddProgress(RunProgress progress, Time now, std::uint32_t percent);
 
-// By its own progress before, or else by its estimate, it should have got
-// further by now.
+// Whether the run should have progressed by now, by its own earlier pace or
+// else by its estimate.
 bool StandsStill(const RunProgress& progress, Time now, Duration estimate);
 
-// Starting it again elsewhere throws `lost` away; waiting costs nobody knows
-// how long. It is moved when it has stood still for half of what moving costs,
-// which is never more than three times as dear as knowing would have been.
+// Whether to restart a stalled run elsewhere, which discards `lost`, the work
+// done so far. How long the stall will last is unknown. Moving the run once it
+// has been stalled for half of `lost` costs at most three times as much as the
+// best choice in hindsight.
 bool IsWorthMoving(const RunProgress& progress, Time now, Duration lost);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Workers that fail all that they start take work as fast as they fail it. A
-// row of failures of different jobs, with no success between, tells them from
-// one bad job.
+// Quarantines a worker that fails everything, as it would accept tasks as fast
+// as it fails them. Consecutive failures of different jobs, without a success
+// between them, tell such a worker from a single bad job.
 void NoteOutcome(Context& context,
                  const std::string& id,
                  OwnedWorker& worker,
@@ -30,7 +30,7 @@
   if (++worker.recent_failures < kMaxFailuresInRow) {
     return;
   }
-  // One more failure after the quarantine brings the next one.
+  // A single failure after the quarantine starts the next one.
   worker.recent_failures = kMaxFailuresInRow - 1;
   worker.quarantine_until = context.now + kQuarantine;
   context.Log(
@@ -38,8 +38,8 @@
       {{"worker", id}, {"failures", std::to_string(kMaxFailuresInRow)}});
 }
 
-// The job may have another owner by now: after so many reports of an end
-// without an answer the store is asked for it.
+// Reports of an end without a confirmation after which the job's record is read
+// again, since the job may have another owner.
 constexpr std::uint32_t kTellingsPerRead = 3;
 
 std::string JobOf(const std::string& task) {
@@ -47,8 +47,8 @@
   return name ? name->job : std::string();
 }
 
-// Ends that are stored, or of jobs that nobody owns any more, are forgotten by
-// the worker with the next hold; only the first ones on.
+// Lets the worker drop the leading ends that are stored, or whose jobs have
+// ended, with the next poll.
 void Acknowledge(OwnedWorker& worker) {
   while (!worker.ends.empty() && worker.ends.begin()->second.stored) {
     worker.acknowledged = worker.ends.begin()->first;
@@ -90,8 +90,8 @@
                        run->second.spec.estimate);
     }
     if (run->second.answer_offer) {
-      // It started and ended before the order was answered: the end itself
-      // tells the job's owner.
+      // The run ended before the reply to its start arrived. The report of the
+      // end also answers the offer.
       run->second.answer_offer = false;
     }
     worker.runs.erase(run);
@@ -172,7 +172,8 @@
                    std::vector<EndReport>& out) {
   for (auto& [sequence, end] : worker.ends) {
     if (jobs.contains(JobOf(end.row.task))) {
-      // The owner before may have said so without a successor knowing it.
+      // A previous owner of the job may have confirmed it without the current
+      // one knowing.
       end.stored = false;
       out.push_back(MakeReport(id, end.row));
     }
@@ -196,7 +197,7 @@
                    const LocalRun& run) {
   const std::string owner = OwnerOfJob(context.state, JobOf(task));
   if (owner.empty()) {
-    return;  // an adopter asks what runs, and learns that it does not
+    return;  // the job's next owner queries its runs and finds this one missing
   }
   ++context.state.totals.lost_runs;
   Send(context, owner,
--- a/Source/engine/workers/run_ends.h
+++ b/Source/engine/workers/run_ends.h
@@ -1,4 +1,5 @@
-// Ends of runs on own workers, until the jobs' owners have them in the store.
+// Ends of runs on own workers, which are kept and reported until the jobs'
+// owners have stored them.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_RUN_ENDS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_RUN_ENDS_H_
 
@@ -10,43 +11,44 @@
 
 namespace burdockrock::engine {
 
-// True when the end is new.
+// Takes in an end that the worker lists. Returns true when the end is new.
 bool ApplyEnd(Context& context,
               const std::string& id,
               OwnedWorker& worker,
               const EndedRow& row);
 
-// Tells the jobs' owners of ends that they have not confirmed.
+// Reports ends to the jobs' owners, as due, until they confirm them.
 void DriveEnds(Context& context);
 
 void OnEndsStored(Context& context, const EndsStored& stored);
 
-// Tells the ends of a task again with the next DriveEnds. False when there is
-// none.
+// Makes the next DriveEnds report the task's ends again. Returns false when the
+// task has none.
 bool RepeatEndsOf(OwnedWorker& worker, const std::string& task);
 
-// The worker lists an end of this run of the task, or of a later one.
+// Whether the worker lists an end of this run of the task or of a later one.
 bool HasEndOf(const OwnedWorker& worker,
               const std::string& task,
               std::uint64_t run);
 
-// Adds all ends of the jobs that the worker still lists.
+// Adds all ends of the given jobs that the worker still lists to `out`.
 void AddEndsOfJobs(const std::string& id,
                    OwnedWorker& worker,
                    const std::set<std::string>& jobs,
                    std::vector<EndReport>& out);
 
-// The run is not there any more, and no end says why.
+// Reports to the job's owner that a run has disappeared without a listed end.
 void ReportLostRun(Context& context,
                    const std::string& id,
                    const std::string& task,
                    const LocalRun& run);
+// Reports all runs of a lost worker, and its ends that are not stored.
 void ReportLostRuns(Context& context,
                     const std::string& id,
                     const OwnedWorker& worker);
 
-// The owner of a job with runs or ends here; empty when it is not known or no
-// member.
+// The owner of a job with runs or ends here, an incarnation. Empty when it is
+// not known or is not a member.
 std::string OwnerOfJob(const State& state, const std::string& job);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/run_progress.cc
+++ b/Source/engine/workers/run_progress.cc
@@ -10,13 +10,14 @@
 
 namespace {
 
-// A worker that stood still is tried again after this long. Such states last
-// five to eight seconds; each try costs the tasks that it gets a second or two.
+// A stalled worker accepts new tasks again after this long. Stalls last five to
+// eight seconds, and each early try delays the tasks placed there by a second
+// or two.
 constexpr Duration kStillPause = milliseconds(3000);
-// A run that stands still is reported again after this long, should the report
-// or the order that follows be lost.
+// A stalled run is reported again after this long, in case the report or the
+// command that follows is lost.
 constexpr Duration kStillRepeat = milliseconds(1000);
-// What a stop of a checkpointing run throws away at the most.
+// The most work that stopping a checkpointing run discards.
 constexpr Duration kCheckpointLoss = milliseconds(100);
 constexpr std::uint32_t kFullPace = 100;
 
@@ -32,10 +33,10 @@
   return OwnerOfJob(context.state, name->job);
 }
 
-// A run that no listing has shown since it started is not judged: the answer to
-// a hold can have been written before the start.
-// Tasks that fill may rightly get no processor at all, lasting ones have no
-// progress, and the members of a gang wait for each other at first.
+// Whether a lack of progress means that the run is stalled. It does not before
+// a listing has shown the run, as the reply to a poll may have been written
+// before the start. Filling tasks may legitimately get no processor at all,
+// lasting tasks have no progress, and gang members first wait for each other.
 bool ShowsProgress(const LocalRun& run) {
   const bool waits = run.spec.gang && run.progress.percent == 0;
   const bool listed = run.progress.first_at >= run.since;
--- a/Source/engine/workers/run_progress.h
+++ b/Source/engine/workers/run_progress.h
@@ -1,4 +1,5 @@
-// Watches whether runs on own workers go on, and tells their jobs' owners.
+// Monitors the progress of runs on own workers and reports to their jobs'
+// owners.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_RUN_PROGRESS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_RUN_PROGRESS_H_
 
@@ -8,21 +9,21 @@
 
 namespace burdockrock::engine {
 
-// After a listing of the worker was taken in. A run that stands still is
-// reported, and the worker gets no new tasks for a while: it answers all calls
-// as if it were well, so nothing else would show it.
+// Called after a listing of the worker was taken in. Reports stalled runs, and
+// lets the worker accept no new tasks for a while: a stalled worker replies to
+// all calls, so that nothing else shows its state.
 void ReviewProgress(Context& context,
                     const std::string& id,
                     OwnedWorker& worker);
 
-// The worker can't be reached: copies of what runs there may start, where the
-// steps allow copies.
+// Called when the worker is unreachable. Copies of its runs may start elsewhere
+// where the steps allow copies.
 void ReportUnreached(Context& context,
                      const std::string& id,
                      OwnedWorker& worker);
 
-// The worker is to be emptied: the owners of its runs' jobs move them when that
-// costs little and the steps' budgets allow it.
+// Called when the worker is to be emptied. The jobs' owners move its runs where
+// that costs little and the steps' budgets allow it.
 void ReportUnwanted(Context& context,
                     const std::string& id,
                     OwnedWorker& worker);
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -15,18 +15,17 @@
 
 namespace {
 
-// Between two reviews of all runs; small against the time in which the run of a
-// cancelled job has to be gone.
+// Between two checks of all runs. Short compared to the time within which the
+// runs of a cancelled job must have ended.
 constexpr Duration kReviewInterval = milliseconds(250);
-// A job's owner asks for each run every kRunCheck, and a slow one a second
-// later.
+// A job's owner queries each run every kRunCheck; a slow one is a second late.
 constexpr Duration kUnaskedFor = kRunCheck + milliseconds(1000);
-// Between two reads of one job's record for this.
+// Between two reads of the same job's record.
 constexpr Duration kAskAgain = milliseconds(1000);
 
 struct Review {
-  std::set<std::string> ended{};  // jobs
-  std::set<std::string> unsure{};
+  std::set<std::string> ended{};                // jobs
+  std::set<std::string> unsure{};               // jobs
   std::map<std::string, RunReports> reports{};  // by the jobs' owners
 };
 
--- a/Source/engine/workers/run_review.h
+++ b/Source/engine/workers/run_review.h
@@ -1,4 +1,4 @@
-// Looks after runs on own workers whose job's owner is not heard of.
+// Checks runs on own workers that their job's owner no longer queries.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_RUN_REVIEW_H_
 #define BURDOCKROCK_ENGINE_WORKERS_RUN_REVIEW_H_
 
@@ -6,14 +6,14 @@
 
 namespace burdockrock::engine {
 
-// A run goes on for as long as its worker's owner renews the leases, and only
-// the job's owner orders it to stop. If that one has died, or is cut off, after
-// a cancel was acknowledged, nobody adopts a job that has ended, and its runs
-// would go on for ever. So each run must be asked for by its job's owner from
-// time to time. Where it is not, the job's record is read: the runs of an ended
-// job are stopped, repeatedly, whoever started them; while its state can't be
-// read they go on. Whoever owns the job now is told of the run, and has it
-// stopped if it knows no use for it.
+// A run continues while its worker's owner renews the lease, and normally only
+// the job's owner commands it to stop. If that owner dies or is cut off after a
+// cancel was acknowledged, no instance adopts the ended job, and its runs would
+// continue indefinitely. Each run is therefore expected to be queried by its
+// job's owner from time to time. If it is not, the job's record is read. The
+// runs of an ended job are stopped, repeatedly and regardless of which owner
+// started them; while the record can't be read they continue. The job's current
+// owner gets a report of the run and stops it if it is not needed.
 void ReviewRuns(Context& context);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/speed_estimate.cc
+++ b/Source/engine/workers/speed_estimate.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Estimates are off by 20 to 90%: after so many runs the mean of them is good
-// to a tenth or a third.
+// Single estimates are off by 20 to 90%. The mean of this many runs is accurate
+// to between a tenth and a third.
 constexpr std::uint32_t kMinSamples = 4;
-// A worker that turns slow shows after about this many runs.
+// A worker that becomes slow is noticed after about this many runs.
 constexpr double kMemory = 12;
 constexpr double kMaxRatio = 10;
 constexpr double kHundredths = 100;
--- a/Source/engine/workers/speed_estimate.h
+++ b/Source/engine/workers/speed_estimate.h
@@ -1,4 +1,4 @@
-// How fast a worker is, learned from the runs that ended there.
+// Estimates a worker's speed from the runs that ended there.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_SPEED_ESTIMATE_H_
 #define BURDOCKROCK_ENGINE_WORKERS_SPEED_ESTIMATE_H_
 
@@ -9,17 +9,17 @@
 
 namespace burdockrock::engine {
 
-// A mean of the runs' times against their estimates, on a logarithmic scale and
-// with more weight on newer ones.
+// The geometric mean of the runs' times divided by their estimates, with more
+// weight on recent runs.
 class SpeedEstimate {
  public:
   SpeedEstimate() = default;
-  // Goes on from what another instance has learned; 0: from nothing.
+  // Continues from another instance's slowness(); 0 starts without data.
   explicit SpeedEstimate(std::uint32_t slowness);
 
   void Add(Duration took, Duration estimate);
 
-  // In hundredths of the estimates; 0 while too little is known.
+  // Time taken in percent of the estimates; 0 while there are too few runs.
   std::uint32_t slowness() const;
 
   auto operator<=>(const SpeedEstimate&) const = default;
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -19,20 +19,20 @@
 namespace {
 
 constexpr const char* kDuty = "upkeep";
-// Listings are paid for; a machine is down for two seconds or more.
+// Listings are charged for, and a machine is down for at least two seconds.
 constexpr Duration kListInterval = milliseconds(1000);
 constexpr Duration kMachineTimeout = milliseconds(1000);
 constexpr Duration kCallRetry = milliseconds(200);
-// The worker's owner is asked again.
+// Between two requests to a worker's owner to empty the worker.
 constexpr Duration kPrepareRepeat = milliseconds(500);
-// A machine that does not get empty in this time lets others go first; above
-// the length of most runs.
+// A machine that is not empty after this time is put back, so that others can
+// go first. Longer than most runs.
 constexpr Duration kPrepareTime = milliseconds(20'000);
-// For so long after the last message a worker takes nothing new.
+// A worker accepts no tasks for this long after the last request to empty it.
 constexpr Duration kLeavingKept = milliseconds(1500);
 
-// At most one member may order machines: it must be registered, and chosen for
-// longer than an old list of members may name another one.
+// At most one member may command machines. It must be registered, and must have
+// been chosen for longer than another member may act on an old list of members.
 bool HoldsDuty(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
   const bool chosen = IsSurelyRegistered(context) &&
@@ -98,7 +98,7 @@
   Send(context, owner, PrepareWorker{.worker = machine.worker});
 }
 
-// True when an order was sent.
+// Returns true when a command was sent.
 bool DriveMachine(Context& context,
                   const WaveProgress& progress,
                   const std::string& name,
@@ -108,7 +108,7 @@
   }
   if (HasPassed(context.now, machine.since, kPrepareTime)) {
     context.Log(EventNumber::kUpkeepWaits,
-                {{"machine", name}, {"cause", "it did not get empty"}});
+                {{"machine", name}, {"cause", "not emptied in time"}});
     machine.phase = MachinePhase::kWaiting;
     machine.since = context.now;
     return false;
@@ -169,19 +169,19 @@
   Call(context, ListMachines{});
 }
 
-MachineProgress* FindOrdered(Context& context, const BeginUpkeep& order) {
-  const auto wave = context.state.upkeep.waves.find(order.wave);
+MachineProgress* FindOrdered(Context& context, const BeginUpkeep& command) {
+  const auto wave = context.state.upkeep.waves.find(command.wave);
   if (wave == context.state.upkeep.waves.end()) {
     return nullptr;
   }
-  const auto it = wave->second.machines.find(order.machine);
+  const auto it = wave->second.machines.find(command.machine);
   return it == wave->second.machines.end() ? nullptr : &it->second;
 }
 
 void OnUpkeepAnswer(Context& context,
-                    const BeginUpkeep& order,
+                    const BeginUpkeep& command,
                     const MachineAnswer& answer) {
-  MachineProgress* machine = FindOrdered(context, order);
+  MachineProgress* machine = FindOrdered(context, command);
   if (machine == nullptr) {
     return;
   }
@@ -192,10 +192,10 @@
   }
   const auto* refused = std::get_if<MachineRefused>(&answer);
   if (refused == nullptr) {
-    return;  // it may be carried out yet; the listings will tell
+    return;  // it may still be executed; the listings will show it
   }
   context.Log(EventNumber::kUpkeepWaits,
-              {{"machine", order.machine},
+              {{"machine", command.machine},
                {"cause", MachineRefusalName(refused->kind)}});
   machine->phase = MachinePhase::kWaiting;
   machine->since = context.now;
@@ -265,8 +265,8 @@
 void OnMachinesAnswered(Context& context, const MachinesAnswered& event) {
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.in_flight = false;
-  if (const auto* order = std::get_if<BeginUpkeep>(&event.request)) {
-    OnUpkeepAnswer(context, *order, event.answer);
+  if (const auto* command = std::get_if<BeginUpkeep>(&event.request)) {
+    OnUpkeepAnswer(context, *command, event.answer);
   } else if (const auto* move = std::get_if<MoveMachine>(&event.request)) {
     OnMoveAnswer(context, *move, event.answer);
   } else if (const auto* page = std::get_if<MachinePage>(&event.answer)) {
@@ -274,7 +274,7 @@
   }
   const bool listing = std::holds_alternative<ListMachines>(event.request);
   if (listing && std::holds_alternative<MachineRefused>(event.answer)) {
-    upkeep.retry_at = context.now + kListInterval;  // too many asked at once
+    upkeep.retry_at = context.now + kListInterval;  // rate limit exceeded
   }
   const auto* none = std::get_if<MachineUnanswered>(&event.answer);
   if (none != nullptr) {
@@ -291,7 +291,7 @@
   const auto it = context.state.upkeep.waves.find(wave);
   if (it == context.state.upkeep.waves.end() ||
       !std::holds_alternative<StoreDone>(answer)) {
-    return;  // repeated
+    return;  // DriveUpkeep writes it again
   }
   it->second.running_told = true;
   it->second.completed_told = completed;
--- a/Source/engine/workers/upkeep.h
+++ b/Source/engine/workers/upkeep.h
@@ -1,5 +1,5 @@
-// Carries out waves of upkeep: one member at a time empties machines, sends
-// them down and tells how far the wave is.
+// Carries out waves of upkeep. The one member that holds the duty empties
+// machines, takes them down and stores the status of the wave.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_UPKEEP_H_
 #define BURDOCKROCK_ENGINE_WORKERS_UPKEEP_H_
 
@@ -9,18 +9,23 @@
 
 namespace burdockrock::engine {
 
+// Takes in a wave that was read from the store.
 void OnWaveItem(Context& context, const StoreItem& item);
 
+// Lists machines, prepares them and sends commands to the machine service, as
+// due.
 void DriveUpkeep(Context& context);
 
+// Handles a reply of the machine service.
 void OnMachinesAnswered(Context& context, const MachinesAnswered& event);
+// Handles the store's reply to a write of the wave's status.
 void OnWaveTold(Context& context,
                 std::uint64_t wave,
                 bool completed,
                 const StoreAnswer& answer);
 
-// The worker's owner moves away what runs there, as far as the steps' budgets
-// allow, and says when it is empty.
+// At the worker's owner: has the worker's runs moved, as far as the steps'
+// budgets allow, and replies once the worker is empty.
 void OnPrepareWorker(Context& context,
                      const std::string& from,
                      const PrepareWorker& message);
--- a/Source/engine/workers/upkeep_rule.cc
+++ b/Source/engine/workers/upkeep_rule.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
-// An order without an answer may be carried out this much later.
+// A command without a reply may be executed up to this much later.
 constexpr Duration kLateOrder = std::chrono::milliseconds(13'000);
-// A listing this much younger than an order's answer shows what came of it.
+// A listing requested this much later than the reply to a command reflects the
+// command.
 constexpr Duration kListingAge = std::chrono::milliseconds(500);
 
 void Enter(MachineProgress& machine, MachinePhase phase, Time now) {
@@ -16,18 +17,21 @@
   machine.since = now;
 }
 
-// It is up again, or still.
-void TakeUp(MachineProgress& machine, const Machine& listed, Time asked) {
+// The machine is listed as up: again, or because it has not gone down yet.
+void TakeUp(MachineProgress& machine,
+            const Machine& listed,
+            Time requested_at) {
   if (machine.phase != MachinePhase::kOrdered) {
     return;
   }
   const bool renewed =
       !machine.worker.empty() && listed.worker != machine.worker;
-  const bool settled = machine.taken && asked >= machine.since + kListingAge;
+  const bool settled =
+      machine.taken && requested_at >= machine.since + kListingAge;
   if (renewed || settled) {
-    Enter(machine, MachinePhase::kDone, asked);
-  } else if (!machine.taken && asked >= machine.since + kLateOrder) {
-    Enter(machine, MachinePhase::kWaiting, asked);
+    Enter(machine, MachinePhase::kDone, requested_at);
+  } else if (!machine.taken && requested_at >= machine.since + kLateOrder) {
+    Enter(machine, MachinePhase::kWaiting, requested_at);
   }
 }
 
@@ -41,23 +45,26 @@
   return progress;
 }
 
-void TakeListing(WaveProgress& progress, const MachineList& list, Time asked) {
+void TakeListing(WaveProgress& progress,
+                 const MachineList& list,
+                 Time requested_at) {
   for (auto& [name, machine] : progress.machines) {
     const auto listed = list.find(name);
     if (listed == list.end()) {
-      Enter(machine, MachinePhase::kDone, asked);  // it has left for good
+      // The machine was removed from the service.
+      Enter(machine, MachinePhase::kDone, requested_at);
       continue;
     }
     const bool begun = machine.phase == MachinePhase::kOrdered ||
                        machine.phase == MachinePhase::kDone;
     switch (listed->second.state) {
       case MachineState::kUp:
-        TakeUp(machine, listed->second, asked);
+        TakeUp(machine, listed->second, requested_at);
         break;
       case MachineState::kUpkeep:
-        // Whoever ordered it before this instance.
+        // A previous holder of the duty has commanded it.
         if (!begun) {
-          Enter(machine, MachinePhase::kOrdered, asked);
+          Enter(machine, MachinePhase::kOrdered, requested_at);
         }
         machine.taken = true;
         break;
--- a/Source/engine/workers/upkeep_rule.h
+++ b/Source/engine/workers/upkeep_rule.h
@@ -1,5 +1,5 @@
-// How a wave of upkeep goes on. Pure functions of what the machines' listings
-// and the answers to orders have told.
+// The state machine of a wave of upkeep. Pure functions of the listings of
+// machines and the replies to commands.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_UPKEEP_RULE_H_
 #define BURDOCKROCK_ENGINE_WORKERS_UPKEEP_RULE_H_
 
@@ -16,18 +16,18 @@
 
 enum class MachinePhase {
   kWaiting,
-  kPreparing,  // what runs there is moved away
-  kOrdered,    // it goes down, is down, or may do so
+  kPreparing,  // its runs are being moved
+  kOrdered,    // it is going down or down, or may still go down
   kDone,
 };
 
 struct MachineProgress {
   MachinePhase phase = MachinePhase::kWaiting;
-  Time since{0};         // in its phase
-  Time asked{0};         // its worker's owner was last asked to empty it
-  bool empty = false;    // nothing runs there any more
-  bool taken = false;    // the order was answered
-  std::string worker{};  // its life when it was prepared
+  Time since{0};         // start of the phase
+  Time asked{0};         // last request to the worker's owner to empty it
+  bool empty = false;    // no runs are left
+  bool taken = false;    // the machine service has accepted the command
+  std::string worker{};  // id of its worker when preparation began
 };
 
 struct WaveProgress {
@@ -39,18 +39,21 @@
 
 using MachineList = std::map<std::string, Machine>;  // by name
 
-// Each machine of the wave waits.
+// Starts with all machines of the wave waiting.
 WaveProgress BeginWave(Wave wave);
 
-// What a listing that was asked for at `asked` says of the wave's machines.
-void TakeListing(WaveProgress& progress, const MachineList& list, Time asked);
+// Updates the wave's machines from a listing that was requested at
+// `requested_at`.
+void TakeListing(WaveProgress& progress,
+                 const MachineList& list,
+                 Time requested_at);
 
-// Machines that may be prepared now, so that at most the cap of them are on
-// their way down or not back.
+// Machines that may be prepared now. At most the wave's cap of them are being
+// prepared, going down or down at once.
 std::vector<std::string> NextMachines(const WaveProgress& progress,
                                       const MachineList& list);
 
-// Each machine that stays has had its upkeep.
+// Whether each machine that is still listed has had its upkeep.
 bool IsComplete(const WaveProgress& progress);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-// Above the pause and the timeout of the watch of workers, below the time for
-// which entries last.
+// Longer than the pause and the timeout of the watch of workers, shorter than
+// the lifetime of their entries.
 constexpr Duration kListLag = milliseconds(2300);
 
-// Of two lives at one address at most one is there, and the list can't tell
-// which: an entry that a life sent before it ended may be stored long after its
-// successor's, as when a cut held it up. Taken for the later one it would end
-// its successor, whose tasks would then run twice. So the workers' owners ask
-// at the address, where only the one that is there answers.
+// Of two incarnations at one address at most one is running, and the list does
+// not tell which: an entry that was sent before a crash may be stored long
+// after the entry of the next incarnation, for example when a network cut
+// delayed it. Declaring the other one lost by the order of entries would then
+// run its tasks twice. The workers' owners therefore poll the address, where
+// only the running incarnation replies.
 void AskEarlierLives(Context& context, const WorkerInfo& info) {
   for (auto& [id, worker] : context.state.owned) {
     if (id != info.id && worker.info.address == info.address) {
--- a/Source/engine/workers/worker_list.h
+++ b/Source/engine/workers/worker_list.h
@@ -1,4 +1,5 @@
-// The platform's list of workers.
+// The platform's list of workers, as read from the store, and the workers that
+// have left it and may still run tasks.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_LIST_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_LIST_H_
 
@@ -9,30 +10,31 @@
 void OnWorkerItem(Context& context, const StoreItem& item);
 void OnWorkerRemoved(Context& context, const std::string& key);
 
-// Forgets workers that left the list long ago.
+// Forgets workers that left the list more than kUnlistedKept ago.
 void DriveWorkerList(Context& context);
 
-// Null when it is not known (any more).
+// Null when the worker is not known, or no longer known.
 const ListedWorker* FindWorker(const State& state, const std::string& id);
 
-// Something may run there: the worker is known, and no end of it was reported.
-// The table alone is not enough: an ended worker comes back into it when the
-// list is read anew before its entry lapses, and stays for kUnlistedKept.
+// Whether tasks may run there: the worker is known and not reported as lost.
+// The table of workers alone does not tell: a lost worker is added to it again
+// when the list is reread before its entry expires, and stays for
+// kUnlistedKept.
 bool MayRunTasks(const State& state, const std::string& worker);
 
-// What to tell of a worker that left the list to a member that may not know it;
-// nothing when it is listed.
+// A description of a worker that left the list, for a member that may not know
+// it. Nothing when the worker is listed.
 std::optional<RememberedWorker> RememberedFor(const State& state,
                                               const std::string& worker);
 
-// All workers that left the list and where something may run.
+// All workers that left the list and may still run tasks.
 std::vector<RememberedWorker> AllRemembered(const State& state);
 
-// With the store's list they are all: this instance has followed it for as long
-// as a worker is remembered.
+// Whether the listed and the remembered workers are all that may run tasks.
+// True once this instance has followed the list for kUnlistedKept.
 bool RemembersAll(const Context& context);
 
-// Workers that a member remembers and that this instance may not have seen.
+// Adds workers that a member remembers and this instance may not know.
 void OnWorkersRemembered(Context& context,
                          const std::vector<RememberedWorker>& workers);
 
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A run that a former owner started.
+// Adds a run that a former owner of the worker started.
 void AddFound(Context& context,
               OwnedWorker& worker,
               const RunningRow& row,
@@ -67,14 +67,14 @@
   Confirm(context, id, row.task, run);
 }
 
-// Runs that the worker had, and that its listing lacks, have ended; their end
-// stands in the listing or was acknowledged. A listing that was asked for
-// before the run was confirmed does not speak of it.
+// Removes runs that the worker had and no longer lists: they have ended, and
+// their ends are in this listing or were acknowledged. A listing that was
+// requested before the run was confirmed need not contain it.
 void RemoveUnlisted(Context& context,
                     const std::string& id,
                     OwnedWorker& worker,
                     const WorkerDone& listing,
-                    Time asked) {
+                    Time requested_at) {
   std::set<std::string> listed;
   for (const RunningRow& it : listing.running) {
     listed.insert(it.task);
@@ -82,7 +82,7 @@
   std::vector<std::string> missing;
   for (const auto& [task, run] : worker.runs) {
     const bool was_there =
-        run.confirmed != Time::min() && run.confirmed < asked;
+        run.confirmed != Time::min() && run.confirmed < requested_at;
     const bool orders_done =
         run.phase == RunPhase::kRunning ||
         (run.phase == RunPhase::kStopping && run.stop_answered);
@@ -110,7 +110,7 @@
                   const std::string& id,
                   OwnedWorker& worker,
                   const WorkerDone& listing,
-                  Time asked) {
+                  Time requested_at) {
   bool ended = false;
   for (const EndedRow& it : listing.ended) {
     ended = ApplyEnd(context, id, worker, it) || ended;
@@ -121,7 +121,7 @@
   for (const RunningRow& it : listing.running) {
     ApplyRunning(context, id, worker, it);
   }
-  RemoveUnlisted(context, id, worker, listing, asked);
+  RemoveUnlisted(context, id, worker, listing, requested_at);
   if (ended) {
     RoomChanged(context, id);
   }
--- a/Source/engine/workers/worker_listing.h
+++ b/Source/engine/workers/worker_listing.h
@@ -1,4 +1,4 @@
-// Reads what a worker lists in answer to a hold.
+// Takes in the runs and ends that a worker lists in its reply to a poll.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_LISTING_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_LISTING_H_
 
@@ -8,14 +8,15 @@
 
 namespace burdockrock::engine {
 
-// `asked` is when the hold was sent.
+// `requested_at` is the time at which the poll was sent.
 void ApplyListing(Context& context,
                   const std::string& id,
                   OwnedWorker& worker,
                   const WorkerDone& listing,
-                  Time asked);
+                  Time requested_at);
 
-// The spec of runs that were found at a claimed worker is known now.
+// Sets the spec of runs that were found at a claimed worker, once the job's
+// spec is known.
 void DescribeRuns(Context& context,
                   const std::string& job,
                   const JobSpec& spec);
--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/worker_lives.cc
@@ -12,17 +12,19 @@
 
 namespace {
 
-// A worker that is paused or slow answers within this time, and a list that
-// lags has a worker by then that was new when it fell silent.
+// A paused or slow worker replies within this time. A lagging list has by then
+// a worker that was new when it became unresponsive.
 constexpr Duration kSilentFor = milliseconds(1200);
-// Between two listings of one instance: its share of the service's rate, 60
-// pages a second at the users', grows smaller with each member. At 30 members
-// that all have silent workers they make 8 listings a second, of 1 to 3 pages.
+// Between two listings of one instance. The machine service allows 60 pages a
+// second for all members together, so the interval grows with their number: 30
+// members that all have unresponsive workers make 8 listings a second, of 1 to
+// 3 pages each.
 constexpr Duration kLivesInterval = milliseconds(1000);
 constexpr Duration kLivesIntervalPerMember = milliseconds(90);
 
-// From then on a listing may tell that the worker has ended. One that has left
-// the store's list was there before, and the service has long known it.
+// The time from which a listing without the worker proves that it is lost. A
+// worker that has left the store's list is not new, so the service must know
+// it and no delay is needed.
 Time InDoubtSince(const Context& context, const OwnedWorker& worker) {
   const ListedWorker* listed = FindWorker(context.state, worker.info.id);
   const bool left = listed != nullptr && !listed->listed;
@@ -47,20 +49,22 @@
              [&](const auto& it) { return IsInDoubt(context, it.second); });
 }
 
-void TakeLives(Context& context, const MachineList& machines, Time asked) {
+void TakeLives(Context& context,
+               const MachineList& machines,
+               Time requested_at) {
   std::set<std::string> alive;
   for (const auto& [name, machine] : machines) {
     if (machine.state == MachineState::kUp) {
       alive.insert(machine.worker);
     }
   }
-  // An empty list says that the service has lost its own state.
+  // An empty list means that the service has lost its state.
   if (alive.empty()) {
     return;
   }
   std::vector<std::string> ended;
   for (const auto& [id, worker] : context.state.owned) {
-    if (IsSilent(worker) && InDoubtSince(context, worker) <= asked &&
+    if (IsSilent(worker) && InDoubtSince(context, worker) <= requested_at &&
         !alive.contains(id)) {
       ended.push_back(id);
     }
--- a/Source/engine/workers/worker_lives.h
+++ b/Source/engine/workers/worker_lives.h
@@ -1,6 +1,6 @@
-// What the list of machines says of workers that can't be reached: a machine
-// whose worker is another by now, or none, has ended all that ran at the old
-// one. It needs neither the worker nor a former owner.
+// Declares unreachable workers lost by the list of machines. All runs at a
+// worker have ended once its machine has another worker or none. This needs a
+// reply from neither the worker nor a former owner.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_LIVES_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_LIVES_H_
 
@@ -8,12 +8,14 @@
 
 namespace burdockrock::engine {
 
-// Some silent worker may still have leases, and a listing is due.
+// Whether a listing is due because some owned worker is unresponsive.
 bool WantsLives(const Context& context);
 
-// Takes owned workers that are silent and have no machine for gone. `machines`
-// is a whole listing that was begun at `asked`.
-void TakeLives(Context& context, const MachineList& machines, Time asked);
+// Declares owned workers lost that are unresponsive and on no running machine.
+// `machines` is a complete listing that was requested at `requested_at`.
+void TakeLives(Context& context,
+               const MachineList& machines,
+               Time requested_at);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/worker_offers.cc
+++ b/Source/engine/workers/worker_offers.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// The offer can't be taken because of what is known of the job: whose it is.
+// Whether the sender is not a member or no longer owns the job.
 bool IsStale(Context& context,
              const std::string& from,
              const TaskOffer& offer) {
@@ -28,7 +28,8 @@
   return false;
 }
 
-// Nothing when the run is taken and its answer comes later.
+// Handles an offer of a task that is already at the worker. Returns nothing
+// when the offer is accepted and its outcome follows later.
 std::optional<OfferOutcome> RepeatedOffer(Context& context,
                                           const std::string& id,
                                           OwnedWorker& worker,
@@ -69,7 +70,7 @@
   return std::nullopt;
 }
 
-// Nothing when the run is taken and its answer comes later.
+// Returns nothing when the offer is accepted and its outcome follows later.
 std::optional<OfferOutcome> TakeOffered(Context& context,
                                         const std::string& from,
                                         const TaskOffer& offer,
@@ -84,8 +85,8 @@
     return RepeatedOffer(context, offered.worker, *worker, task, there->second,
                          offer, offered);
   }
-  // An offer can be overtaken by the question what became of it. Once that was
-  // answered with "not here", its run may have a successor elsewhere.
+  // A query for the run can overtake its offer. Once the reply was "not here",
+  // the task may have a later run elsewhere.
   const auto& refused = context.state.known[offer.job].refused;
   const auto last = refused.find(task);
   if (last != refused.end() && offered.run <= last->second) {
@@ -93,7 +94,7 @@
   }
   if (HasEndOf(*worker, task, offered.run)) {
     RepeatEndsOf(*worker, task);
-    return std::nullopt;  // the end itself is the answer
+    return std::nullopt;  // the report of the end answers the offer
   }
   if (!Accepts(context, *worker)) {
     return OfferOutcome::kNotServing;
--- a/Source/engine/workers/worker_offers.h
+++ b/Source/engine/workers/worker_offers.h
@@ -1,4 +1,4 @@
-// Offers of the owners of jobs to the owner of a worker.
+// Handles offers of tasks, which job owners send to the owner of a worker.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_OFFERS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_OFFERS_H_
 
@@ -8,6 +8,8 @@
 
 namespace burdockrock::engine {
 
+// Accepts or refuses each offered task. The outcome of a start follows when the
+// worker has replied.
 void OnTaskOffer(Context& context,
                  const std::string& from,
                  const TaskOffer& offer);
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -27,16 +27,17 @@
 void BeginClaim(Context& context, const WorkerInfo& info) {
   OwnedWorker& worker = context.state.owned[info.id];
   worker.info = info;
-  // What the owner before has learned.
+  // The previous owner's estimate, from its digest.
   worker.speed = SpeedEstimate(context.state.view[info.id].slowness);
   worker.hold_at = context.now;
   worker.lease_bound = ReleasedLeaseEnd(context, info.id);
   SuspectLeases(context, worker);
 }
 
-// Whoever registers before the last lease has run out may claim the worker and
-// renew what runs there. Without knowing all members up to then, a worker that
-// another one reaches is taken for gone, and its tasks run twice.
+// A member that registers before the last lease has expired may claim the
+// worker and renew its leases. Unless all members up to that time are known, a
+// worker that another member reaches could be declared lost, and its tasks
+// would run twice.
 bool IsOwnersWord(const Context& context, const OwnedWorker& worker) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
@@ -47,32 +48,33 @@
              context.self();
 }
 
-// Nothing runs there any more, whoever renewed it last. That the store has
-// dropped the worker's entry says nothing of its leases: when a failure domain
-// is cut off, the worker and its former owner are cut off together, and the one
-// goes on renewing what runs at the other.
+// All leases have expired, including those of former owners. A missing entry in
+// the store proves nothing: when a failure domain is cut off, the worker and
+// its former owner can be cut off together, and the owner keeps renewing.
 bool HasRunOut(const Context& context, const OwnedWorker& worker) {
   return context.now >= worker.lease_bound &&
          context.now >= ForeignLeasesEnd(context, worker);
 }
 
-// A hold got no answer, and no other call has shown since whether the worker is
-// there.
+// One poll got no reply, and the next one has not yet shown whether the worker
+// is reachable.
 bool IsMissing(const OwnedWorker& worker) {
   return worker.missed_since != Time(0) && !IsSilent(worker);
 }
 
 bool MayRenew(const Context& context, const OwnedWorker& worker) {
-  const bool silent =
+  const bool unresponsive =
       worker.missed_since != Time(0) &&
       HasPassed(context.now, worker.missed_since, kRenewWithoutAnswer);
-  const bool alone = HasPassed(context.now, context.state.members.last_contact,
-                               kMaxWithoutStore);
-  return worker.claimed && !silent && !alone && !context.state.stop.released;
+  const bool without_store = HasPassed(
+      context.now, context.state.members.last_contact, kMaxWithoutStore);
+  return worker.claimed && !unresponsive && !without_store &&
+         !context.state.stop.released;
 }
 
-// Members may have come since the claim began. Going on would take the worker
-// from its rightful owner, which has a lower fence, and nobody would notice.
+// Members may have registered since the claim began. Completing the claim would
+// take the worker from its rightful owner, which has a lower fence, without
+// either of them detecting it.
 void DropStaleClaims(Context& context) {
   std::erase_if(context.state.owned, [&](const auto& it) {
     const OwnedWorker& worker = it.second;
@@ -84,7 +86,7 @@
     if (owner == context.self()) {
       return false;
     }
-    // The rightful owner may never have seen a worker that left the list.
+    // The rightful owner may not know a worker that has left the list.
     if (auto remembered = RememberedFor(context.state, it.first)) {
       Send(context, owner, RunQueries{.remembered = {std::move(*remembered)}});
     }
@@ -97,7 +99,8 @@
   return lost_at != Time::min() && context.now - lost_at < kLossyFor;
 }
 
-// A silent worker may be one whose answers have become slow.
+// Uses the full slack for an unresponsive worker, whose replies may merely have
+// become slow.
 Duration HoldSlack(const Context& context, const OwnedWorker& worker) {
   if (worker.claimed && !IsSilent(worker) &&
       (IsMissing(worker) || AnswersGetLost(context))) {
@@ -107,7 +110,7 @@
   return kHoldSlack;
 }
 
-// A poll without a wait shows whether a hold was lost or its worker is silent.
+// A poll without a wait tells a lost reply from an unresponsive worker.
 Duration HoldWait(const Context& context, const OwnedWorker& worker) {
   if (worker.missed_since != Time(0)) {
     return Duration(0);
@@ -115,25 +118,25 @@
   return AnswersGetLost(context) ? kLossyHoldWait : kHoldWait;
 }
 
-// Renewed often enough that the next hold may get lost.
+// Polls the worker. Leases last long enough for the next poll to get lost.
 void SendHold(Context& context, const std::string& id, OwnedWorker& worker) {
-  HoldWorker hold{.acknowledged = worker.acknowledged};
+  HoldWorker poll{.acknowledged = worker.acknowledged};
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
-      // Refused with this one already.
+      // The worker has refused this fence already.
       WantRaise(context);
       worker.hold_at = context.now + kHoldRetry;
       return;
     }
     worker.fence = context.state.members.fence;
   }
-  hold.fence = worker.fence;
+  poll.fence = worker.fence;
   if (MayRenew(context, worker)) {
     const bool first = worker.lease_until_ms == 0;
-    hold.lease_until_ms = NextLease(context, worker);
-    hold.wait = HoldWait(context, worker);
+    poll.lease_until_ms = NextLease(context, worker);
+    poll.wait = HoldWait(context, worker);
     if (first) {
-      RoomChanged(context, id);  // it can take tasks from now on
+      RoomChanged(context, id);  // it accepts tasks from now on
     }
   }
   worker.hold_in_flight = true;
@@ -141,11 +144,12 @@
   ++context.state.totals.holds;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
-                          .request = hold,
-                          .timeout = hold.wait + HoldSlack(context, worker)});
+                          .request = poll,
+                          .timeout = poll.wait + HoldSlack(context, worker)});
 }
 
-// Polls beside the hold that waits, to learn whether the worker is still owned.
+// Polls without a wait, beside the long poll in flight, to check whether the
+// worker still accepts this instance's fence.
 void SendProof(Context& context, const std::string& id, OwnedWorker& worker) {
   worker.proof_wanted = false;
   worker.proof_in_flight = true;
@@ -158,19 +162,19 @@
                  .timeout = kHoldSlack});
 }
 
-bool IsProof(const HoldWorker& hold) {
-  return hold.lease_until_ms == 0 && hold.wait == Duration(0);
+bool IsProof(const HoldWorker& poll) {
+  return poll.lease_until_ms == 0 && poll.wait == Duration(0);
 }
 
 void OnHeld(Context& context,
             const std::string& id,
             OwnedWorker& worker,
             const WorkerDone& done,
-            Time asked) {
+            Time requested_at) {
   worker.answered = context.now;
-  worker.proven = std::max(worker.proven, asked);
+  worker.proven = std::max(worker.proven, requested_at);
   worker.doubted = false;
-  const bool was_silent = IsSilent(worker);
+  const bool was_unresponsive = IsSilent(worker);
   if (std::exchange(worker.silence_told, false)) {
     context.Log(
         EventNumber::kWorkerBack,
@@ -186,17 +190,17 @@
     worker.claimed = true;
     context.state.gone.erase(id);
     worker.lease_bound = context.now + LeaseSpan(context);
-    worker.foreign_bound = context.now;  // lower fences are refused from now on
+    worker.foreign_bound = context.now;  // it refuses lower fences from now on
     context.Log(EventNumber::kWorkerClaimed,
                 {{"worker", id},
                  {"fence", std::to_string(worker.fence)},
                  {"running", std::to_string(done.running.size())},
                  {"ended", std::to_string(done.ended.size())}});
   }
-  // A worker that was only polled needs its lease renewed at once.
-  const bool renew_now = claimed_now || was_silent;
+  // A poll without a lease must be followed by a renewal at once.
+  const bool renew_now = claimed_now || was_unresponsive;
   worker.hold_at = context.now + (renew_now ? Duration(0) : kHoldPause);
-  ApplyListing(context, id, worker, done, asked);
+  ApplyListing(context, id, worker, done, requested_at);
   AnswerQuestions(context, id, worker);
   if (renew_now) {
     RoomChanged(context, id);
@@ -215,11 +219,11 @@
   if (kind == WorkerRefusalKind::kFenced) {
     LoseWorker(context, event.worker);
   } else if (kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    WorkerIsGone(context, event.worker, "replaced by another incarnation");
   }
 }
 
-// Announces to the peers that the worker is gone.
+// Announces to the peers that the worker is lost.
 void TellGone(Context& context, const std::string& id, std::uint64_t fence) {
   context.state.gone[id] = GoneWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
@@ -231,20 +235,20 @@
   });
 }
 
-// Claims the workers that are this instance's by the present members.
+// Claims the workers that the current members assign to this instance.
 void ClaimOwn(Context& context) {
   const bool settled =
       HasPassed(context.now, context.state.members.registered_at, kClaimDelay);
-  // An instance that the store refuses may have been replaced in the list of
-  // members, and may have given workers up to its successor.
+  // An instance that the store refuses may have been removed from the list of
+  // members, and its workers may belong to a successor.
   if (!IsSurelyRegistered(context) || context.state.stop.asked || !settled) {
     return;
   }
   context.state.ownership_reviewed = context.now;
   for (const auto& [id, it] : context.state.workers) {
-    const bool mine =
+    const bool own =
         ChooseMember(context.state, id, it.info.domain) == context.self();
-    if (mine && !context.state.owned.contains(id)) {
+    if (own && !context.state.owned.contains(id)) {
       BeginClaim(context, it.info);
     }
   }
@@ -262,7 +266,7 @@
                 kOwnershipReview)) {
     ClaimOwn(context);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> lost;
   for (auto& [id, worker] : context.state.owned) {
     if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
       SendProof(context, id, worker);
@@ -270,7 +274,7 @@
     if (IsSilent(worker) && IsSurelyRegistered(context) &&
         HasRunOut(context, worker)) {
       if (IsOwnersWord(context, worker)) {
-        gone.push_back(id);
+        lost.push_back(id);
         continue;
       }
       WantMembers(context);
@@ -280,7 +284,7 @@
     }
     DriveRuns(context, id, worker);
   }
-  for (const std::string& it : gone) {
+  for (const std::string& it : lost) {
     WorkerIsGone(context, it, "silent past its leases");
   }
   ForgetGone(context);
@@ -288,12 +292,12 @@
 
 void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
   const auto it = context.state.owned.find(event.worker);
-  const auto& hold = std::get<HoldWorker>(event.request);
-  if (it == context.state.owned.end() || it->second.fence != hold.fence) {
+  const auto& poll = std::get<HoldWorker>(event.request);
+  if (it == context.state.owned.end() || it->second.fence != poll.fence) {
     return;
   }
   OwnedWorker& worker = it->second;
-  if (worker.claimed && worker.proof_in_flight && IsProof(hold) &&
+  if (worker.claimed && worker.proof_in_flight && IsProof(poll) &&
       event.asked != worker.hold_sent) {
     worker.proof_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
@@ -303,7 +307,7 @@
   }
   worker.hold_in_flight = false;
   const bool unreached = std::holds_alternative<WorkerUnreached>(event.answer);
-  if (hold.wait == Duration(0) && !unreached) {
+  if (poll.wait == Duration(0) && !unreached) {
     NoteResponse(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
@@ -315,8 +319,9 @@
   const bool fenced =
       refused != nullptr && refused->kind == WorkerRefusalKind::kFenced;
   if (fenced) {
-    // It answers; another owner has it. Counted as silent it would be taken for
-    // gone one day, and what runs there would run twice.
+    // The worker replies, and another owner has it. If it counted as
+    // unresponsive, it could be declared lost while its tasks run, and these
+    // would run twice.
     worker.missed_since = Time(0);
     worker.silent_since = Time(0);
   } else if (refused == nullptr && worker.claimed &&
@@ -343,11 +348,11 @@
     return;
   }
   if (refused->kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    WorkerIsGone(context, event.worker, "replaced by another incarnation");
   } else if (refused->kind == WorkerRefusalKind::kFenced) {
     context.Log(
         EventNumber::kClaimRefused,
-        {{"worker", event.worker}, {"fence", std::to_string(hold.fence)}});
+        {{"worker", event.worker}, {"fence", std::to_string(poll.fence)}});
     if (worker.claimed) {
       LoseWorker(context, event.worker);
     } else {
@@ -392,8 +397,8 @@
 }
 
 void WorkerIsGone(Context& context, const std::string& id, const char* cause) {
-  // Left in the list it would be claimed again with each review until its entry
-  // lapses.
+  // Otherwise each ownership check would claim it again until its entry in the
+  // store expires.
   context.state.workers.erase(id);
   const auto node = context.state.owned.extract(id);
   if (!node.empty()) {
@@ -418,7 +423,7 @@
   OwnedWorker& worker = it->second;
   RoomView& view = context.state.view[id];
   if (view.fence > worker.fence) {
-    return;  // another owner has said so; the worker will too
+    return;  // another owner has announced it; the worker will refuse ours
   }
   ++worker.version;
   context.state.digest.changed.insert(id);
--- a/Source/engine/workers/worker_owner.h
+++ b/Source/engine/workers/worker_owner.h
@@ -1,4 +1,5 @@
-// Owning workers: claims, leases, and when a worker is gone for certain.
+// Ownership of workers: claims, lease renewal by long polls, and the decision
+// that a worker is lost.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_OWNER_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_OWNER_H_
 
@@ -8,45 +9,47 @@
 
 namespace burdockrock::engine {
 
-// With the next drive this instance begins to claim the workers that it should
-// own. Those that it should no longer own it keeps until their new owner has
+// Makes the next DriveWorkers claim the workers that this instance should own.
+// Workers that it should no longer own stay with it until their new owner has
 // claimed them.
 void ReviewOwnership(Context& context);
 
-// Renews, claims and gives up workers, as due.
+// Claims workers, renews their leases and declares them lost, as due.
 void DriveWorkers(Context& context);
 
 void OnHoldAnswer(Context& context, const WorkerAnswered& event);
 
-// The own registration was lost.
+// Called when this instance's registration was lost.
 void DoubtWorkers(Context& context);
 
-// The registration is back. Workers that have not answered since it was lost
-// may have been renewed by other owners in between.
+// Called when this instance is registered again. Other owners may have renewed
+// the leases of workers that have not replied since the registration was lost.
 void ExtendDoubtedLeases(Context& context);
 
-// Another owner has a higher fence. All that ran there is the new owner's now.
+// Gives the worker up because another owner has a higher fence. The new owner
+// takes over all runs there.
 void LoseWorker(Context& context, const std::string& id);
 
-// All that ran there has ended.
+// Declares the worker lost: all runs there have ended. `cause` is logged.
 void WorkerIsGone(Context& context, const std::string& id, const char* cause);
 
-// The worker's room or whether it takes tasks has changed.
+// Publishes the worker's free room, and whether it accepts tasks, after either
+// has changed.
 void RoomChanged(Context& context, const std::string& id);
 
-// Whether new tasks may start there.
+// Whether new tasks may start at the worker.
 bool Accepts(const Context& context, const OwnedWorker& worker);
 
 Resources FreeRoom(const OwnedWorker& worker);
 
-// Until when a lease that is asked for now may last, on the worker's clock.
-// Notes in the worker by when all that runs there would have ended.
+// The end of a lease that is requested now, in milliseconds on the worker's
+// clock. Extends `lease_bound` accordingly.
 std::int64_t NextLease(Context& context, OwnedWorker& worker);
 
-// It did not answer the last hold.
+// Two polls in a row got no reply.
 bool IsSilent(const OwnedWorker& worker);
 
-// Null when it is not owned, or not claimed yet.
+// Null when this instance has not claimed the worker.
 OwnedWorker* FindClaimed(State& state, const std::string& id);
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-// The stop of a run is repeated while the run is not listed as ended; above the
-// longest stop and the longest wait for a listing.
+// An answered stop is repeated until the run is listed as ended. Longer than
+// the slowest stop and the longest wait for a listing.
 constexpr Duration kStopRepeat = milliseconds(2500);
-// Of the timeout of an order without an answer.
+// Of a command's timeout, one for each attempt without a reply.
 constexpr std::uint32_t kMostDoublings = 4;
 
-// Grows with each try: answers that have become slow are else never heard.
+// Doubles with each attempt, so that replies that have become slow still
+// arrive in time.
 Duration OrderTimeout(const Context& context, std::uint32_t tries) {
   const Duration first = context.state.worker_answers.time.Timeout(
       kLeastOrderTimeout, kOrderTimeout);
@@ -79,12 +80,12 @@
                     LocalRun& run,
                     WorkerRefusalKind kind) {
   if (kind == WorkerRefusalKind::kLate) {
-    return;  // repeated with the next lease
+    return;  // the command is repeated with the next lease
   }
   if (kind == WorkerRefusalKind::kOldRun) {
-    // An earlier try of this order, unanswered, has started it, and it has
-    // ended. Answering "refused" would make the job's owner start a task again
-    // that may be done: the next listing says how it ended.
+    // An earlier attempt without a reply has started the run, and the run has
+    // ended. A refusal would make the job's owner start a task again that may
+    // be done; the next listing reports how it ended.
     return Confirm(context, id, task, run);
   }
   context.Log(EventNumber::kStartRefused, {{"task", task},
@@ -95,9 +96,9 @@
     worker.unhealthy_until = context.now + kUnhealthyPause;
   }
   if (run.start_unanswered) {
-    // The worker may carry out the earlier try seconds from now, when the task
-    // has been started elsewhere: it would run twice. Once a stop was taken the
-    // worker refuses the start, and the job's owner gets its answer.
+    // The worker may execute the earlier attempt seconds from now, when the
+    // task has been started elsewhere, so that it would run twice. After a stop
+    // the worker refuses the start, and the job's owner gets its answer.
     return BeginRunStop(context, id, worker, task, run);
   }
   AnswerIfAsked(context, id, task, run, OutcomeOf(kind));
@@ -108,16 +109,16 @@
                    const WorkerAnswered& event,
                    OwnedWorker& worker,
                    LocalRun& run,
-                   const StartRun& order) {
+                   const StartRun& command) {
   if (std::holds_alternative<WorkerDone>(event.answer)) {
-    Confirm(context, event.worker, order.task, run);
+    Confirm(context, event.worker, command.task, run);
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused == nullptr) {
     run.start_unanswered = true;
   } else if (run.phase == RunPhase::kStarting) {
-    OnStartRefused(context, event.worker, worker, order.task, run,
+    OnStartRefused(context, event.worker, worker, command.task, run,
                    refused->kind);
   }
 }
@@ -126,15 +127,15 @@
                   const WorkerAnswered& event,
                   LocalRun& run) {
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
-  const bool old =
+  const bool old_run =
       refused != nullptr && refused->kind == WorkerRefusalKind::kOldRun;
-  if (std::holds_alternative<WorkerDone>(event.answer) || old) {
+  if (std::holds_alternative<WorkerDone>(event.answer) || old_run) {
     run.stop_answered = true;
     run.confirmed = context.now;
   }
 }
 
-// The order was sent to the worker.
+// Whether the run's start was sent, so that the worker may have the run.
 bool IsOrdered(const LocalRun& run) {
   return run.phase != RunPhase::kBooked && run.phase != RunPhase::kAwaitingRoom;
 }
@@ -271,8 +272,7 @@
     known.heard = context.now;
     const auto run = worker->runs.find(it.task);
     if (run == worker->runs.end() || run->second.run != it.run) {
-      // The run's offer may come after this. Taking it would start what the
-      // job's owner has just stopped.
+      // The run's offer may arrive after this stop and must not start the run.
       std::uint64_t& refused = known.refused[it.task];
       refused = std::max(refused, it.run);
       ReportRun(context, from,
@@ -297,7 +297,8 @@
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
-    return WorkerIsGone(context, event.worker, "another life answers");
+    return WorkerIsGone(context, event.worker,
+                        "replaced by another incarnation");
   }
   const auto* start = OrderOf<StartRun>(event);
   const auto* stop = OrderOf<StopRun>(event);
--- a/Source/engine/workers/worker_runs.h
+++ b/Source/engine/workers/worker_runs.h
@@ -1,4 +1,4 @@
-// Runs on own workers, and the orders that start and stop them.
+// Runs on own workers, and the commands that start and stop them.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_RUNS_H_
 #define BURDOCKROCK_ENGINE_WORKERS_WORKER_RUNS_H_
 
@@ -8,19 +8,20 @@
 
 namespace burdockrock::engine {
 
+// Stops runs on behalf of the job's owner.
 void OnTaskStops(Context& context,
                  const std::string& from,
                  const TaskStops& stops);
 
-// Answers to StartRun and StopRun.
+// Handles replies to StartRun and StopRun.
 void OnOrderAnswer(Context& context, const WorkerAnswered& event);
 
-// Learns how long workers take to answer, from an answer that had not to wait
-// for anything.
+// Updates the estimate of the workers' response time. `event` must be the reply
+// to a call without a wait.
 void NoteResponse(Context& context, const WorkerAnswered& event);
 
-// Repeats orders without an answer, withdraws starts that take too long, moves
-// runs away from a worker that leaves.
+// Repeats commands without a reply, withdraws starts that time out, and stops
+// the runs of a draining worker so that they are placed elsewhere.
 void DriveRuns(Context& context, const std::string& id, OwnedWorker& worker);
 
 void OrderStart(Context& context,
@@ -39,30 +40,32 @@
                OwnedWorker& worker,
                const std::string& task);
 
-// The worker has the run, or had it.
+// Called when the worker has shown that it has, or had, the run.
 void Confirm(Context& context,
              const std::string& id,
              const std::string& task,
              LocalRun& run);
 
-// Adds what room the workers have that refused.
+// Sends the outcomes of offers, with the free room of each worker that refused.
 void SendAnswers(Context& context, const std::string& to, OfferAnswers answers);
 
+// Sends the outcome of one offer to the job's owner `to`.
 void AnswerOffer(Context& context,
                  const std::string& to,
                  const std::string& worker,
                  const std::string& task,
                  std::uint64_t run,
                  OfferOutcome outcome);
+// Does so if the run's offer has no answer yet.
 void AnswerIfAsked(Context& context,
                    const std::string& id,
                    const std::string& task,
                    LocalRun& run,
                    OfferOutcome outcome);
 
-// The job has ended: what of it still runs here, nobody else stops. Without
-// this the runs of a cancelled job would go on for ever, their leases renewed,
-// when all instances lost power right after the cancel was acknowledged.
+// Stops the remaining runs of a job that has ended. When all instances lose
+// power right after a cancel was acknowledged, no job owner is left to stop
+// them, and their leases would be renewed indefinitely.
 void StopRunsOf(Context& context, const std::string& job);
 
 }  // namespace burdockrock::engine
