--- a/Tests/engine/dead_worker_test.cc
+++ b/Tests/engine/dead_worker_test.cc
@@ -1,4 +1,5 @@
-// Workers that die while their owners change: what ran there is run again soon.
+// Tests that the runs of a lost worker are soon restarted when the worker's
+// owner is lost or restarted at about the same time.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -12,31 +13,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void CutOff(Fleet& fleet, const std::string& worker) {
+void Disconnect(Fleet& fleet, const std::string& worker) {
   fleet.order_fault = [worker](const std::string&, const std::string& name,
                                const WorkerRequest&) {
     return name == worker ? OrderFault::kUnreached : OrderFault::kNone;
   };
 }
 
-// Its machine loses power: nobody hears that it is gone.
+// The worker's machine loses power, so that no process announces its end.
 void Crash(Fleet& fleet, const std::string& worker) {
-  CutOff(fleet, worker);
-  fleet.Run(seconds(2));  // a call that is under way is still answered
+  Disconnect(fleet, worker);
+  fleet.Run(seconds(2));  // a call in flight still gets its reply
   fleet.worker(worker).Crash(fleet.now(), worker + "-2");
 }
 
-// Workers died a second after the instances that owned them, which were started
-// again. The workers' new owners did not know until when the old ones had
-// renewed leases and waited 18.4 s, though the processes that could have done
-// so were gone: their entry instances had registered again under other
-// incarnations. A lasting task stayed away for 30 s with room for it. The logs
-// had worker_silent for the dead workers, 0.7 s apart, until 21 s after their
-// death, no worker_gone, and job_adopted three times for the task's job.
-TEST_CASE("A worker that died with its owner is gone when its leases are") {
+// Guards against a new owner that waits 18.4 s for leases that no process can
+// still renew. A worker dies a second after its owner, whose instance restarts
+// under another incarnation. The new owner did not infer that the previous
+// incarnation had ended, and a lasting task was down for 30 s although there
+// was room for it. The logs had worker_silent for the dead worker every
+// 0.7 s until 21 s after its death, no worker_gone, and job_adopted three times
+// for the job.
+TEST_CASE("A worker that died with its owner is lost once its leases expire") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n2");
-  CutOff(fleet, "w0");
+  Disconnect(fleet, "w0");
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.Run(seconds(2));
@@ -48,11 +49,11 @@
   CheckPromises(fleet);
 }
 
-// A worker died and its owner was restarted after the worker's entry had left
-// the store. The new life of the owner did not know the worker, the others
-// remembered it for 25 s, and nobody claimed it: an adopted job waited for word
-// of it until they forgot it.
-TEST_CASE("A worker that only others remember does not hold an adoption up") {
+// Guards against a lost worker that no instance claims. Its owner restarts
+// after the worker's entry was removed from the store and does not know the
+// worker, while the other instances remember it for 25 s. An adopted job waited
+// for a report on the worker until they had forgotten it.
+TEST_CASE("A worker that only other members remember delays no adoption") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n2");
   Crash(fleet, "w0");
@@ -72,14 +73,14 @@
   CheckPromises(fleet);
 }
 
-// The owner of a dead worker knows what ran there. Of a job that had nothing
-// there it can say so without hearing from the worker: adopted jobs waited
-// for the lease of each dead worker, though none of their tasks was there.
-TEST_CASE("A dead worker holds up only the jobs that had something there") {
+// Guards against adopted jobs that wait for the lease of a dead worker where
+// they had no runs. The worker's owner knows its runs, and can report that
+// there were none without a reply from the worker.
+TEST_CASE("A dead worker delays only the jobs that had runs or ends there") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(600)});
-  CutOff(fleet, "w0");
+  Disconnect(fleet, "w0");
   fleet.Run(milliseconds(2500));
   fleet.Submit("n1", "j1", Chain(3, 6));
   fleet.Run(milliseconds(700));
@@ -89,13 +90,13 @@
   CheckPromises(fleet);
 }
 
-// Machines were taken away and their workers known to have ended. The list of
-// workers was read anew while their entries lasted, so that all instances
-// remembered them for 25 s more. When their owner lost power 6 s after their
-// end, its next life claimed them again, and 97 adopted jobs waited 1.4 to 2.1
-// s for word of a worker that the adopters themselves had heard to be gone: the
-// lines named it with 7,257 ms since its last word, which was its end.
-TEST_CASE("A worker that is known to have ended holds no adoption up") {
+// Guards against an adoption that waits for a worker which is already declared
+// lost. When the list of workers is reread before the lost worker's entry
+// expires, all instances remember it for 25 s more. If its owner then loses
+// power, the owner's next incarnation claims the worker again. 97 adopted jobs
+// waited 1.4 to 2.1 s for a report on a worker that the adopting instances had
+// themselves received as lost 7,257 ms before.
+TEST_CASE("A worker that is known to be lost delays no adoption") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n0", "n2");
   Crash(fleet, "w0");
@@ -121,15 +122,15 @@
   CheckPromises(fleet);
 }
 
-// A worker ended, its entry had left the list, and its owner lost power before
-// it had asked the service of machines, which it may do once in 5 s at 48
-// members. Its next life claimed the worker, which refused the connection, and
-// asked nobody for 1.2 s: 74 adopted jobs waited for 1.3 to 2.3 s for word of
-// it.
-TEST_CASE("A silent worker that left the list is asked about at once") {
+// Guards against a delayed listing of machines. A worker ends, its entry is
+// removed from the store, and its owner loses power before it has listed the
+// machines, which it may do every 5 s at 48 members. The owner's next
+// incarnation claims the worker, which refuses the connection. It waited 1.2 s
+// before it requested a listing, and 74 adopted jobs waited 1.3 to 2.3 s.
+TEST_CASE("Machines are listed at once for an unlisted unresponsive worker") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n0", "n2");
-  CutOff(fleet, "w0");
+  Disconnect(fleet, "w0");
   fleet.Kill("n0");
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
   fleet.store.Remove("worker/w0-1");
@@ -137,17 +138,17 @@
   fleet.Start("n0");
   REQUIRE(fleet.RunUntil([&] { return fleet.state("n2").jobs.contains(job); },
                          seconds(2)));
-  // An order that finds nobody takes 0.7 s here, and claims begin 0.2 s after
-  // the registration.
+  // A command to an unreachable worker takes 0.7 s here, and claims begin 0.2 s
+  // after the registration.
   fleet.Run(milliseconds(1100));
   CHECK_FALSE(fleet.state("n2").jobs.at(job).recovering);
   CheckPromises(fleet);
 }
 
-// A member that still reaches the worker gives no word that its leases end: it
-// renews them for 12 s without the store, and what runs there would run twice.
-TEST_CASE(
-    "A worker that its former owner still reaches is not taken for gone") {
+// Guards against tasks that run twice. A former owner that still reaches the
+// worker renews its leases for 12 s without the store, and must not report that
+// they end.
+TEST_CASE("A worker that its former owner still reaches is not declared lost") {
   Fleet fleet;
   const std::string job = BeginLasting(fleet, "n1", "n2");
   fleet.store_fault = [](const std::string& node, const StoreRequest&) {
@@ -164,14 +165,14 @@
   CheckPromises(fleet);
 }
 
-// A worker crashed behind a cut and another life of it came at its address.
-// When the cut healed, a heartbeat that the first life had sent 12 s before
-// reached the store, with a higher revision than the entry of the second. All
-// instances took the second life for ended, since the first seemed to have come
-// after it, and its four tasks ran twice. The log had worker_gone with the
-// cause "replaced" for the second life, and worker_claimed with running=4 for
-// it 1.2 s later.
-TEST_CASE("A late entry of an ended life does not end the present one") {
+// Guards against a delayed heartbeat that makes a running worker appear
+// replaced. A worker crashes behind a network cut and another incarnation
+// starts at its address. When the cut heals, a heartbeat that the first
+// incarnation sent 12 s before reaches the store, with a higher revision than
+// the entry of the second. All instances declared the second incarnation lost,
+// and its four tasks ran twice. The log had worker_gone with the cause
+// "replaced" for it, and worker_claimed with running=4 1.2 s later.
+TEST_CASE("A late entry of a former incarnation does not replace the current") {
   Fleet fleet;
   fleet.Settle();
   fleet.worker("w0").Crash(fleet.now(), "w0-2");
@@ -189,7 +190,7 @@
   fleet.Run(seconds(5));
   CHECK(CountRuns(fleet, job) == kLastingTasks);
   CheckPromises(fleet);
-  // A life that has ended is claimed once, not until its entry lapses.
+  // A former incarnation is not claimed repeatedly until its entry expires.
   const auto claims = std::count_if(
       fleet.log.begin(), fleet.log.end(), [](const LogLine& line) {
         return line.number == EventNumber::kWorkerGone &&
--- a/Tests/engine/end_log_test.cc
+++ b/Tests/engine/end_log_test.cc
@@ -1,4 +1,4 @@
-// Ends of runs in few lines of the log, with all that they told.
+// Tests that the combined log lines of ends contain every end.
 #include "engine/workers/end_log.h"
 
 #include <string>
@@ -55,7 +55,7 @@
   CHECK(log.TakeDone(seconds(20), true).empty());
 }
 
-TEST_CASE("A process that stops leaves no end untold") {
+TEST_CASE("A process that stops logs all pending ends") {
   EndLog log;
   log.Add(seconds(10), End(0));
   CHECK(log.TakeDone(seconds(10), true).size() == 1);
@@ -87,11 +87,11 @@
   CHECK(log.TakeDone(seconds(11), false).size() == 1);
 }
 
-// A value of more than 512 bytes is cut in the log, and the runs at its end
-// would be told nowhere.
-TEST_CASE("Many ends are told whole, in values that the log does not cut") {
+// Guards against lost ends: the log truncates a value of more than 512 bytes,
+// and the runs at its end would not be logged.
+TEST_CASE("Many ends are logged in values that are not truncated") {
   EndLog log;
-  std::size_t told = 0;
+  std::size_t logged = 0;
   for (std::uint32_t it = 0; it < 1000; ++it) {
     LoggedEnd end = End(2 * it, 1001);
     end.task.job = std::string(64, 'j');
@@ -107,11 +107,11 @@
     CHECK(runs.size() <= kMaxLogValueBytes);
     std::size_t at = 0;
     while ((at = runs.find("r1001", at)) != std::string::npos) {
-      ++told;
+      ++logged;
       ++at;
     }
   }
-  CHECK(told == 2000);
+  CHECK(logged == 2000);
 }
 
 }  // namespace
--- a/Tests/engine/fake_worker.h
+++ b/Tests/engine/fake_worker.h
@@ -1,5 +1,5 @@
-// A worker that starts whatever it is told, in virtual time, and notes what it
-// did.
+// A worker in virtual time that starts every run it is commanded to start, and
+// records its runs.
 #ifndef BURDOCKROCK_TESTS_ENGINE_FAKE_WORKER_H_
 #define BURDOCKROCK_TESTS_ENGINE_FAKE_WORKER_H_
 
@@ -16,7 +16,7 @@
 
 namespace burdockrock::engine {
 
-// One run, as an observer at the worker saw it.
+// One run, as observed at the worker.
 struct SeenRun {
   std::string task{};
   std::uint64_t run = 0;
@@ -26,10 +26,10 @@
   Time began{0};
   Time ended = kForever;
   std::optional<RunEnd> how{};
-  Time acknowledged = kForever;  // its end
+  Time acknowledged = kForever;  // when its end was acknowledged
 };
 
-// How long a run of the task takes and how it ends; nothing: for ever.
+// How long a run takes and how it ends.
 struct RunPlan {
   Duration takes = std::chrono::milliseconds(500);
   RunEnd how = RunEnd::kDone;
@@ -40,16 +40,17 @@
  public:
   FakeWorker(WorkerInfo info, std::vector<SeenRun>& seen);
 
-  // Nothing when a hold waits for an end.
+  // Returns nothing when a long poll has to wait for an end.
   std::optional<WorkerAnswer> Handle(Time now, const WorkerRequest& request);
 
-  // Lets time pass: runs end, leases run out.
+  // Ends the runs that are over, or whose lease has expired, by `now`.
   void Advance(Time now);
 
-  // What runs there, and what is started meanwhile, makes no progress.
+  // Runs make no progress until `until`, including those started meanwhile.
   void StandStill(Time now, Time until);
 
-  // The process is gone and another one comes with an empty memory.
+  // Replaces the process by another one without any state, with the id
+  // `new_id`.
   void Crash(Time now, const std::string& new_id);
 
   const WorkerInfo& info() const { return info_; }
@@ -57,21 +58,21 @@
 
   std::function<RunPlan(const std::string& task, std::uint64_t run)> plan =
       [](const std::string&, std::uint64_t) { return RunPlan(); };
-  // Asked instead, where it is set.
+  // Used in place of `plan` where it is set.
   std::function<RunPlan(const StartRun& order)> plan_order{};
 
-  // What the worker lists of a run beside its progress.
+  // The service figure that the worker lists for a run.
   std::function<std::int64_t(const std::string& task)> figure =
       [](const std::string&) { return 0; };
-  // The pace that was ordered last, in percent, by task.
+  // The pace that was commanded last, in percent, by task.
   std::map<std::string, std::uint32_t> paces{};
 
-  // Orders that a higher fence has barred.
+  // Calls that were refused because of a higher fence.
   std::uint64_t refused_fences() const { return refused_fences_; }
 
-  // Most processors that were in use at once.
+  // The most processors that were in use at once, in thousandths.
   std::int64_t peak() const { return peak_; }
-  // What one run of a task takes, for `peak`.
+  // Processors that one run of a task uses, in thousandths.
   std::function<std::int64_t(const std::string& task)> processors =
       [](const std::string&) { return 1000; };
 
@@ -108,8 +109,8 @@
   struct ListedEnd {
     EndedRow row{};
     std::size_t seen = 0;
-    // The lease ran out before the end was acknowledged: a start elsewhere is
-    // allowed then, whatever is acknowledged later.
+    // The lease expired before the end was acknowledged, so that a start
+    // elsewhere is allowed regardless of a later acknowledgement.
     bool lapsed = false;
   };
   std::map<std::uint64_t, ListedEnd> ends_;
--- a/Tests/engine/lost_answers_test.cc
+++ b/Tests/engine/lost_answers_test.cc
@@ -1,5 +1,5 @@
-// Jobs with little slack while workers leave calls unanswered and carry them
-// out seconds later.
+// Tests jobs with little slack while calls to workers get no reply and are
+// executed seconds later.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 constexpr Duration kTaskTime = milliseconds(500);
 constexpr int kJobs = 20;
 
-// One in `each` calls of the type gets no answer.
+// One in `each` calls of the type gets no reply.
 template <typename Call>
 auto LoseOneIn(int each) {
   return [each, n = 0](const std::string&, const std::string&,
@@ -27,7 +27,8 @@
   };
 }
 
-// Hands a job in each 200 ms; the longest time to its completed state.
+// Submits jobs one after the other, 200 ms apart. Returns the longest time from
+// a submission to the completed state.
 Duration SlowestJob(Fleet& fleet, const std::string& name) {
   Duration slowest{0};
   for (int it = 0; it < kJobs; ++it) {
@@ -48,16 +49,16 @@
   return slowest;
 }
 
-std::size_t CountSilent(const Fleet& fleet) {
+std::size_t CountUnresponsive(const Fleet& fleet) {
   return static_cast<std::size_t>(
       std::count_if(fleet.log.begin(), fleet.log.end(), [](const LogLine& it) {
         return it.number == EventNumber::kWorkerSilent;
       }));
 }
 
-// Guards against a lost answer to a start that is waited for longer than a
-// short job has slack.
-TEST_CASE("A start without an answer is repeated within a short job's slack") {
+// Guards against a timeout for a lost reply to a start that exceeds the slack
+// of a short job.
+TEST_CASE("A start without a reply is repeated within a short job's slack") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
@@ -68,8 +69,8 @@
 }
 
 // Guards against ends that stay unknown for the whole wait of a long poll whose
-// answer was lost.
-TEST_CASE("Ends are known soon while long polls lose their answers") {
+// reply was lost.
+TEST_CASE("Ends are known soon while long polls lose their replies") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
@@ -79,9 +80,9 @@
   CheckPromises(fleet);
 }
 
-// Guards against a worker that gets no work, or whose lasting tasks are
-// reported, because of one lost answer.
-TEST_CASE("One lost answer to a long poll does not make a worker silent") {
+// Guards against a worker that gets no tasks, or whose lasting tasks are
+// reported as unreachable, because of one lost reply.
+TEST_CASE("One lost reply to a poll does not make a worker unresponsive") {
   Fleet fleet;
   fleet.Settle();
   bool lost = false;
@@ -94,12 +95,12 @@
   };
   fleet.Run(seconds(6));
   REQUIRE(lost);
-  CHECK(CountSilent(fleet) == 0);
+  CHECK(CountUnresponsive(fleet) == 0);
 }
 
-// Guards against timeouts that are learned while answers are fast and cut off
-// every answer once they are slow.
-TEST_CASE("Work goes on when all answers of workers become slow") {
+// Guards against timeouts that are learned from fast replies and reject every
+// reply once all become slow.
+TEST_CASE("Jobs complete when all replies of workers become slow") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = kTaskTime});
@@ -107,9 +108,9 @@
   SlowestJob(fleet, "fast");
   fleet.worker_way = milliseconds(150);
   SlowestJob(fleet, "first");
-  const std::size_t before = CountSilent(fleet);
+  const std::size_t before = CountUnresponsive(fleet);
   CHECK(SlowestJob(fleet, "slow") <= kTaskTime + milliseconds(2500));
-  CHECK(CountSilent(fleet) - before <= 2);
+  CHECK(CountUnresponsive(fleet) - before <= 2);
   CHECK(CountEnds(fleet, RunEnd::kStopped) == 0);
   CheckPromises(fleet);
 }
--- a/Tests/engine/upkeep_test.cc
+++ b/Tests/engine/upkeep_test.cc
@@ -1,4 +1,5 @@
-// Waves of upkeep: who takes machines down, when, and what runs there.
+// Tests waves of upkeep: that machines go down once, empty and within the cap;
+// and moves of machines from standby pools.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -37,8 +38,9 @@
   CHECK(fleet.upkeeps.size() == 4);
 }
 
-// Symptom: work is lost or thrown away because its machine goes down.
-TEST_CASE("A machine goes down only when nothing runs there any more") {
+// Guards against runs that are lost or cut short because their machine goes
+// down.
+TEST_CASE("A machine goes down only when it has no runs") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = milliseconds(2500)});
@@ -60,10 +62,10 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a service is gone from more places at once than it can bear.
-// Sequence: machines on which its tasks run go down one after the other.
-// Cause would be: stopping its tasks without asking what else of it is away.
-TEST_CASE("No more lasting tasks are away at once than their step allows") {
+// Guards against a service with more tasks down at once than its step allows.
+// Machines with its tasks go down one after the other, and a task must not stop
+// regardless of how many others are down.
+TEST_CASE("No more lasting tasks are down at once than their step allows") {
   Fleet fleet({.workers = 8});
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -90,9 +92,9 @@
   CheckPromises(fleet);
 }
 
-// Symptom: two instances order machines in turn, or a machine goes down twice.
-// Sequence: the one that carries out a wave dies in the middle of it.
-TEST_CASE("Another instance goes on with a wave whose holder is lost") {
+// Guards against two instances that command machines in turn, and a machine
+// that goes down twice, when the holder of the duty dies during a wave.
+TEST_CASE("Another instance continues a wave whose holder is lost") {
   Fleet fleet;
   fleet.Settle();
   fleet.AskForWave(WaveOf({"w0", "w1", "w2", "w3"}, 1));
@@ -111,9 +113,9 @@
   CHECK(fleet.most_down == 1);
 }
 
-// Symptom: more machines are down at once than the cap, or one goes down twice.
-// Sequence: an order is carried out and its answer is lost.
-TEST_CASE("A lost answer to an order to go down changes nothing") {
+// Guards against more machines down at once than the cap, and a machine that
+// goes down twice, when a command is executed and its reply is lost.
+TEST_CASE("A lost reply to a command to go down changes nothing") {
   Fleet fleet;
   fleet.Settle();
   fleet.lose_machine_answers = 2;
@@ -125,8 +127,8 @@
   CHECK(fleet.most_down == 1);
 }
 
-// Symptom: work waits for room while machines stand by.
-TEST_CASE("Machines of a standby pool come while work waits, and go again") {
+// Guards against jobs that wait for room while machines are on standby.
+TEST_CASE("Standby machines move in while jobs wait, and return afterwards") {
   Fleet fleet({.workers = 3, .processors_milli = 4000});
   fleet.Settle();
   fleet.AddStandby(2);
@@ -152,8 +154,8 @@
 }
 
 TEST_CASE(
-    "An order without an answer holds its place for as long as it may "
-    "come late") {
+    "A command without a reply counts against the cap while it may be "
+    "executed late") {
   WaveProgress wave = BeginWave(WaveOf({"a", "b"}, 1));
   const MachineList up = {{"a", {.name = "a", .worker = "a1"}},
                           {"b", {.name = "b", .worker = "b1"}}};
@@ -174,7 +176,7 @@
   TakeListing(wave, renewed, seconds(26));
   CHECK(wave.machines["a"].phase == MachinePhase::kDone);
   CHECK_FALSE(IsComplete(wave));
-  renewed.erase("b");  // it has left for good
+  renewed.erase("b");  // it was removed from the service
   TakeListing(wave, renewed, seconds(27));
   CHECK(IsComplete(wave));
 }
--- a/Tests/engine/worker_failure_test.cc
+++ b/Tests/engine/worker_failure_test.cc
@@ -1,5 +1,5 @@
-// Jobs of steps under failures of workers: gone, cut off, silent, standing
-// still, failing, leaving.
+// Tests jobs under failures of workers that are replaced, cut off,
+// unresponsive, stalled, failing or draining.
 #include <algorithm>
 
 #include <doctest/doctest.h>
@@ -15,9 +15,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Symptom: a task stays lost with its worker, or runs twice.
-// Sequence: a worker dies with its runs, and another life of it answers at the
-// same address under a new id.
+// Guards against a task that stays lost with its worker, or runs twice. A
+// worker dies with its runs, and another incarnation replies at the same
+// address under a new id.
 TEST_CASE("Runs of a worker that was replaced are started again") {
   Fleet fleet;
   fleet.Settle();
@@ -33,11 +33,10 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a task runs at two workers at once.
-// Sequence: a worker is cut off with its runs and works on.
-// Cause would be: starting them elsewhere before its leases have run out.
-TEST_CASE(
-    "Runs on a worker that is cut off are started again after its lease") {
+// Guards against a task that runs at two workers at once. A worker that is cut
+// off continues its runs, which must not start elsewhere before its leases have
+// expired.
+TEST_CASE("Runs on a worker that is cut off are restarted after its lease") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.endless = true});
@@ -56,11 +55,11 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a task runs again though it has ended done, or twice at once.
-// Sequence: a failure domain is cut off; its instance loses its registration
-// and its workers their entries in the store, and both go on together. Cause
-// would be: taking a worker for gone because the store dropped its entry.
-TEST_CASE("A worker that is cut off with its owner is not taken for gone") {
+// Guards against a task that runs again after it ended `done`, or twice at
+// once. When a failure domain is cut off, its instance loses its registration
+// and its workers lose their entries in the store, but both continue together.
+// A missing entry must not declare a worker lost.
+TEST_CASE("A worker that is cut off with its owner is not declared lost") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(9)});
@@ -87,12 +86,11 @@
   CHECK(CountRuns(fleet, "j1") == 24);
 }
 
-// Symptom: tasks of an accepted job wait for 18 s though there is room.
-// Sequence: the store turns an instance away; a worker that it owns leaves for
-// good; its jobs and its workers get other owners, who can't reach that worker.
-// Cause: the former owner might have renewed the worker's leases for as long as
-// it goes on without the store, so the new one waited for that.
-TEST_CASE("A worker that left while its owner was turned away is soon gone") {
+// Guards against tasks that wait 18 s although there is room. The store refuses
+// an instance, a worker that it owns is removed, and the instance's jobs and
+// workers get other owners, which can't reach that worker. The new owner waited
+// for as long as the former one might renew leases without the store.
+TEST_CASE("A worker removed while the store refuses its owner is soon lost") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(2)});
@@ -114,27 +112,27 @@
   CheckPromises(fleet);
 }
 
-// Symptom: jobs are late by the seconds for which a worker stands still.
-// Sequence: a worker answers all calls, and what runs there does not go on.
-// Cause: the leases of such runs were renewed for ever.
-TEST_CASE("Runs that stand still are moved to other workers") {
+// Guards against jobs that are late by the length of a worker's stall. A
+// stalled worker replies to all calls while its runs make no progress, and the
+// leases of such runs were renewed indefinitely.
+TEST_CASE("Stalled runs are moved to other workers") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(2)});
   fleet.Submit("n0", "j1", OneStep(12));
   fleet.Run(milliseconds(600));
-  const std::string still = fleet.seen.front().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(30));
+  const std::string stalled = fleet.seen.front().worker.substr(0, 2);
+  fleet.worker(stalled).StandStill(fleet.now(), fleet.now() + seconds(30));
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CheckPromises(fleet);
 }
 
-// Symptom: on a quiet day runs are moved as if they stood still.
-// Sequence: a start is answered; then comes the answer to a hold that the
-// worker wrote before the start and that does not list the run. Cause: a run
-// that no listing has shown yet counted as without progress for ever.
-TEST_CASE("A run that was not listed yet does not count as standing still") {
+// Guards against healthy runs that are moved as stalled. The reply to a poll
+// that the worker wrote before a start can arrive after the reply to the start,
+// and does not list the run. A run that no listing had shown yet counted as
+// having made no progress since the beginning.
+TEST_CASE("A run that was not listed yet does not count as stalled") {
   State state = MakeState({.self = {.incarnation = "n0-1", .node = "n0"}});
   Effects effects;
   Context context{.state = state, .effects = effects, .now = seconds(100)};
@@ -149,15 +147,15 @@
   ReviewProgress(context, "w0", worker);
   CHECK(effects.empty());
   CHECK(worker.still_until == Time::min());
-  // Listed, and without progress for long.
+  // Listed, and without progress for 9 s.
   run.since = seconds(90);
   run.progress = BeginProgress(seconds(91), 10);
   ReviewProgress(context, "w0", worker);
   CHECK(worker.still_until > context.now);
 }
 
-// Symptom: a worker that stands still takes one task after the other.
-TEST_CASE("A worker that stands still gets no new tasks") {
+// Guards against a stalled worker that accepts one task after the other.
+TEST_CASE("A stalled worker gets no new tasks") {
   Fleet fleet;
   fleet.Settle();
   fleet.worker("w0").StandStill(fleet.now(), fleet.now() + seconds(10));
@@ -169,7 +167,7 @@
   const auto there =
       std::count_if(fleet.seen.begin(), fleet.seen.end(),
                     [](const SeenRun& it) { return it.worker == "w0-1"; });
-  CHECK(there <= 16);  // two rounds of what it has room for
+  CHECK(there <= 16);  // twice its capacity
   fleet.Run(seconds(12));
   for (int it = 0; it < 30; ++it) {
     CHECK(fleet.StateOf("n0", "j" + std::to_string(it)) ==
@@ -178,9 +176,10 @@
   CheckPromises(fleet);
 }
 
-// Symptom: a step that allows copies waits for a worker that is cut off until
-// the worker's leases have run out.
-TEST_CASE("A step that allows copies goes on without a worker that is silent") {
+// Guards against a step that allows copies and still waits for the leases of a
+// worker that is cut off.
+TEST_CASE(
+    "A step that allows copies continues without an unresponsive worker") {
   Fleet fleet;
   fleet.Settle();
   PlanAll(fleet, {.takes = seconds(1)});
@@ -198,7 +197,8 @@
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
 }
 
-// Symptom: a copy runs on after the task is done, or the task counts twice.
+// Guards against a copy that continues after the task is done, and a task that
+// counts twice.
 TEST_CASE("The first copy to finish counts, the others are stopped") {
   Fleet fleet;
   fleet.Settle();
@@ -207,8 +207,8 @@
   spec.steps[0].concurrent = true;
   fleet.Submit("n0", "j1", spec);
   fleet.Run(milliseconds(1500));
-  const std::string still = fleet.seen.front().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(8));
+  const std::string stalled = fleet.seen.front().worker.substr(0, 2);
+  fleet.worker(stalled).StandStill(fleet.now(), fleet.now() + seconds(8));
   fleet.Run(seconds(12));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(CountEnds(fleet, RunEnd::kStopped) >= 1);
@@ -217,7 +217,7 @@
   }
 }
 
-// Symptom: tasks start on a worker that is about to leave.
+// Guards against tasks that start on a worker that is about to shut down.
 TEST_CASE("A draining worker gets no new tasks and its runs are moved") {
   Fleet fleet;
   fleet.Settle();
@@ -237,8 +237,9 @@
   CHECK(fleet.StateOf("n0", "j2") == JobState::kCompleted);
 }
 
-// Symptom: a worker that fails all it starts takes one task after the other.
-TEST_CASE("A worker that fails everything gets no work for a while") {
+// Guards against a worker that fails every task and accepts one after the
+// other.
+TEST_CASE("A worker that fails every task gets no tasks for a while") {
   Fleet fleet;
   fleet.Settle();
   fleet.worker("w0").plan = [](const std::string&, std::uint64_t) {
