--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -15,7 +15,7 @@
 
 // Questions without an answer are repeated: a few times within a lease, which
 // has to pass anyway.
-constexpr Duration kAskAgain = milliseconds(400);
+constexpr Duration kQueryRepeat = milliseconds(400);
 
 // A process goes on renewing for so long without the store.
 Duration LongestSpan(const Context& context) {
@@ -23,7 +23,7 @@
 }
 
 // The store's list has lacked the member since it left.
-Time EndOfDeparted(const Context& context, const DepartedMember& member) {
+Time DepartedLeasesEnd(const Context& context, const DepartedMember& member) {
   const Time without_store = member.left_at + LongestSpan(context);
   if (member.replaced_at == kForever) {
     return without_store;
@@ -32,7 +32,7 @@
 }
 
 // Of members that left before this instance read the list first.
-Time EndOfUnknown(const Context& context) {
+Time UnknownLeasesEnd(const Context& context) {
   const MembersState& members = context.state.members;
   if (members.known_since == kForever) {
     return kForever;
@@ -51,22 +51,22 @@
   return end;
 }
 
-Time EndOfOthers(const Context& context) {
-  Time end = EndOfUnknown(context);
+Time OthersLeasesEnd(const Context& context) {
+  Time end = UnknownLeasesEnd(context);
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    end = std::max(end, EndOfDeparted(context, it));
+    end = std::max(end, DepartedLeasesEnd(context, it));
   }
   return end;
 }
 
-Duration Left(const Context& context, Time end) {
+Duration TimeLeft(const Context& context, Time end) {
   if (end == kForever) {
     return LongestSpan(context);
   }
   return std::max(end - context.now, Duration(0));
 }
 
-bool NeedsWord(const Context& context, const OwnedWorker& worker) {
+bool NeedsLeaseReports(const Context& context, const OwnedWorker& worker) {
   return IsSilent(worker) && context.now < worker.foreign_bound;
 }
 
@@ -81,22 +81,22 @@
 }
 
 // Whoever may have renewed leases and has not said until when.
-std::vector<std::string> Unheard(const Context& context,
-                                 const OwnedWorker& worker) {
-  std::vector<std::string> unheard;
+std::vector<std::string> MissingReports(const Context& context,
+                                        const OwnedWorker& worker) {
+  std::vector<std::string> missing;
   for (const auto& [incarnation, it] : context.state.members.present) {
     if (incarnation != context.self() && !worker.told.contains(incarnation)) {
-      unheard.push_back(incarnation);
+      missing.push_back(incarnation);
     }
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    const bool may_renew =
-        it.replaced_at == kForever && context.now < EndOfDeparted(context, it);
+    const bool may_renew = it.replaced_at == kForever &&
+                           context.now < DepartedLeasesEnd(context, it);
     if (may_renew && !worker.told.contains(incarnation)) {
-      unheard.push_back(incarnation);
+      missing.push_back(incarnation);
     }
   }
-  return unheard;
+  return missing;
 }
 
 }  // namespace
@@ -119,20 +119,20 @@
     if (incarnation == context.self()) {
       continue;
     }
-    const auto told = worker.told.find(incarnation);
-    if (told == worker.told.end()) {
+    const auto report = worker.told.find(incarnation);
+    if (report == worker.told.end()) {
       return worker.foreign_bound;
     }
-    end = std::max(end, told->second.own_end);
+    end = std::max(end, report->second.own_end);
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    const auto told = worker.told.find(incarnation);
-    const Time bound = EndOfDeparted(context, it);
-    end = std::max(end, told == worker.told.end()
+    const auto report = worker.told.find(incarnation);
+    const Time bound = DepartedLeasesEnd(context, it);
+    end = std::max(end, report == worker.told.end()
                             ? bound
-                            : std::min(bound, told->second.own_end));
+                            : std::min(bound, report->second.own_end));
   }
-  Time unknown = EndOfUnknown(context);
+  Time unknown = UnknownLeasesEnd(context);
   for (const auto& [incarnation, it] : worker.told) {
     unknown = std::min(unknown, it.others_end);
   }
@@ -151,7 +151,7 @@
 }
 
 void DriveLeaseQueries(Context& context) {
-  if (!HasPassed(context.now, context.state.leases_asked, kAskAgain) ||
+  if (!HasPassed(context.now, context.state.leases_asked, kQueryRepeat) ||
       !IsSurelyRegistered(context)) {
     return;
   }
@@ -160,10 +160,10 @@
                 [&](const auto& it) { return it.second <= context.now; });
   std::map<std::string, LeaseQuery> queries;
   for (const auto& [id, worker] : context.state.owned) {
-    if (!NeedsWord(context, worker)) {
+    if (!NeedsLeaseReports(context, worker)) {
       continue;
     }
-    for (const std::string& it : Unheard(context, worker)) {
+    for (const std::string& it : MissingReports(context, worker)) {
       queries[it].workers.push_back(
           {.worker = id, .number = worker.lease_question});
     }
@@ -179,7 +179,8 @@
 void OnLeaseQuery(Context& context,
                   const std::string& from,
                   const LeaseQuery& query) {
-  LeaseReport report{.others_left = Left(context, EndOfOthers(context))};
+  LeaseReport report{.others_left =
+                         TimeLeft(context, OthersLeasesEnd(context))};
   for (const LeaseQuestion& it : query.workers) {
     const auto owned = context.state.owned.find(it.worker);
     if (owned != context.state.owned.end()) {
@@ -193,7 +194,7 @@
     report.ends.push_back(
         {.worker = it.worker,
          .number = it.number,
-         .left = Left(context, ReleasedLeaseEnd(context, it.worker))});
+         .left = TimeLeft(context, ReleasedLeaseEnd(context, it.worker))});
   }
   if (!report.ends.empty()) {
     Send(context, from, std::move(report));
--- a/Source/engine/workers/pacing.cc
+++ b/Source/engine/workers/pacing.cc
@@ -8,20 +8,21 @@
 
 // A tail above this share of its target counts as disturbed: the figure is
 // rough, and it takes a while until a slower pace shows.
-constexpr double kDisturbed = 0.85;
+constexpr double kDisturbedShare = 0.85;
 // Below this share for kCalm the filling tasks get faster again.
-constexpr double kUndisturbed = 0.6;
-constexpr Duration kCalm = milliseconds(1500);
+constexpr double kCalmShare = 0.6;
+constexpr Duration kCalmTime = milliseconds(1500);
+constexpr Duration kPaceSettleTime = milliseconds(600);
 constexpr std::uint32_t kFullPace = 100;
-constexpr std::uint32_t kRaise = 25;
+constexpr std::uint32_t kPaceStep = 25;
 
-struct Strain {
+struct Interference {
   bool disturbed = false;
   bool calm = true;
 };
 
-Strain StrainOf(const OwnedWorker& worker) {
-  Strain strain;
+Interference InterferenceAt(const OwnedWorker& worker) {
+  Interference interference;
   for (const auto& [task, run] : worker.runs) {
     const bool serves = run.spec.lasting && run.spec.tail_target > Duration(0);
     if (!serves || run.phase != RunPhase::kRunning) {
@@ -30,10 +31,10 @@
     const double share =
         static_cast<double>(run.figure) /
         static_cast<double>(ToMilliseconds(run.spec.tail_target));
-    strain.disturbed = strain.disturbed || share > kDisturbed;
-    strain.calm = strain.calm && share < kUndisturbed;
+    interference.disturbed = interference.disturbed || share > kDisturbedShare;
+    interference.calm = interference.calm && share < kCalmShare;
   }
-  return strain;
+  return interference;
 }
 
 void SetPace(Context& context,
@@ -65,20 +66,21 @@
 // Down at once to a quarter and then to nothing, up again step by step: a task
 // that serves may be above its target for a few seconds only.
 void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker) {
-  const Strain strain = StrainOf(worker);
+  const Interference interference = InterferenceAt(worker);
   for (auto& [task, run] : worker.runs) {
     if (!run.spec.filling || run.phase != RunPhase::kRunning) {
       continue;
     }
     const bool settled =
         run.over_since == kForever ||
-        HasPassed(context.now, run.over_since, milliseconds(600));
-    if (strain.disturbed && settled) {
-      SetPace(context, id, worker, task, run, run.pace > kRaise ? kRaise : 0);
-    } else if (strain.calm && run.pace < kFullPace &&
-               HasPassed(context.now, run.over_since, kCalm)) {
+        HasPassed(context.now, run.over_since, kPaceSettleTime);
+    if (interference.disturbed && settled) {
       SetPace(context, id, worker, task, run,
-              std::min(run.pace + kRaise, kFullPace));
+              run.pace > kPaceStep ? kPaceStep : 0);
+    } else if (interference.calm && run.pace < kFullPace &&
+               HasPassed(context.now, run.over_since, kCalmTime)) {
+      SetPace(context, id, worker, task, run,
+              std::min(run.pace + kPaceStep, kFullPace));
     }
   }
 }
--- a/Source/engine/workers/pools.cc
+++ b/Source/engine/workers/pools.cc
@@ -29,7 +29,7 @@
       });
 }
 
-MoveMachine OrderOf(const Context& context, const PoolMove& move) {
+MoveMachine CommandOf(const Context& context, const PoolMove& move) {
   return {.machine = move.machine,
           .pool = move.pool,
           .fence = context.state.members.fence};
@@ -68,7 +68,7 @@
     pools.moved_at = context.now;
     pools.borrowed[in->machine] =
         context.state.upkeep.machines.at(in->machine).pool;
-    return OrderOf(context, *in);
+    return CommandOf(context, *in);
   }
   const auto back = ChooseMoveBack(view, context.now);
   if (!back) {
@@ -78,7 +78,7 @@
       context.state.upkeep.machines.at(back->machine).worker;
   if (pools.emptied.contains(worker)) {
     pools.moved_at = context.now;
-    return OrderOf(context, *back);
+    return CommandOf(context, *back);
   }
   const std::string owner = OwnerOfWorker(context, worker);
   if (!owner.empty() &&
--- a/Source/engine/workers/progress_rule.cc
+++ b/Source/engine/workers/progress_rule.cc
@@ -8,29 +8,29 @@
 namespace {
 
 // Stops of a few tenths of a second are common on busy workers.
-constexpr Duration kLeastStill = std::chrono::milliseconds(800);
+constexpr Duration kMinStall = std::chrono::milliseconds(800);
 // It should have got so much further, in percent: a worker that turned eight
 // times as slow has then got one percent further, which shows.
-constexpr double kMissed = 10;
+constexpr double kMinMissedPercent = 10;
 // Less progress than this, in percent, tells little of the pace.
-constexpr std::uint32_t kLeastRise = 3;
+constexpr std::uint32_t kMinRisePercent = 3;
 // A run without progress so far may take this many times its estimate:
 // estimates are too low by up to 2, and slow workers take up to 4 times as
 // long.
-constexpr int kLongestEstimate = 8;
-constexpr Duration kLeastEstimate = std::chrono::milliseconds(100);
-constexpr double kAll = 100;
+constexpr int kMaxEstimateFactor = 8;
+constexpr Duration kMinEstimate = std::chrono::milliseconds(100);
+constexpr double kAllPercent = 100;
 
 // In percent a nanosecond.
 double ExpectedPace(const RunProgress& progress, Duration estimate) {
   const Duration span = progress.risen_at - progress.first_at;
   const std::uint32_t rise = progress.percent - progress.first_percent;
-  if (rise >= kLeastRise && span > Duration(0)) {
+  if (rise >= kMinRisePercent && span > Duration(0)) {
     return rise / static_cast<double>(span.count());
   }
   const Duration longest =
-      kLongestEstimate * std::max(estimate, kLeastEstimate);
-  return kAll / static_cast<double>(longest.count());
+      kMaxEstimateFactor * std::max(estimate, kMinEstimate);
+  return kAllPercent / static_cast<double>(longest.count());
 }
 
 }  // namespace
@@ -54,11 +54,11 @@
 }
 
 bool StandsStill(const RunProgress& progress, Time now, Duration estimate) {
-  const Duration still = now - progress.risen_at;
-  return progress.percent < kAll && still >= kLeastStill &&
+  const Duration stalled = now - progress.risen_at;
+  return progress.percent < kAllPercent && stalled >= kMinStall &&
          ExpectedPace(progress, estimate) *
-                 static_cast<double>(still.count()) >=
-             kMissed;
+                 static_cast<double>(stalled.count()) >=
+             kMinMissedPercent;
 }
 
 bool IsWorthMoving(const RunProgress& progress, Time now, Duration lost) {
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -14,11 +14,11 @@
 // Workers that fail all that they start take work as fast as they fail it. A
 // row of failures of different jobs, with no success between, tells them from
 // one bad job.
-void NoteOutcome(Context& context,
-                 const std::string& id,
-                 OwnedWorker& worker,
-                 const EndedRow& row,
-                 const std::string& job) {
+void RecordOutcome(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker,
+                   const EndedRow& row,
+                   const std::string& job) {
   if (row.how == RunEnd::kDone) {
     worker.recent_failures = 0;
     return;
@@ -40,7 +40,7 @@
 
 // The job may have another owner by now: after so many reports of an end
 // without an answer the store is asked for it.
-constexpr std::uint32_t kTellingsPerRead = 3;
+constexpr std::uint32_t kReportsPerRead = 3;
 
 std::string JobOf(const std::string& task) {
   const auto name = ParseTaskName(task);
@@ -77,7 +77,7 @@
   worker.seen = row.sequence;
   const std::string job = JobOf(row.task);
   worker.ends[row.sequence] = LocalEnd{.row = row};
-  NoteOutcome(context, id, worker, row, job);
+  RecordOutcome(context, id, worker, row, job);
   const auto run = worker.runs.find(row.task);
   std::optional<Duration> took;
   Duration estimate{0};
@@ -118,7 +118,7 @@
         continue;
       }
       end.told = context.now;
-      if (++end.tellings % kTellingsPerRead == 0) {
+      if (++end.tellings % kReportsPerRead == 0) {
         WantRecord(context, JobOf(end.row.task));
       }
       const std::string job = JobOf(end.row.task);
--- a/Source/engine/workers/run_progress.cc
+++ b/Source/engine/workers/run_progress.cc
@@ -12,10 +12,10 @@
 
 // A worker that stood still is tried again after this long. Such states last
 // five to eight seconds; each try costs the tasks that it gets a second or two.
-constexpr Duration kStillPause = milliseconds(3000);
+constexpr Duration kStallPause = milliseconds(3000);
 // A run that stands still is reported again after this long, should the report
 // or the order that follows be lost.
-constexpr Duration kStillRepeat = milliseconds(1000);
+constexpr Duration kStallReportRepeat = milliseconds(1000);
 // What a stop of a checkpointing run throws away at the most.
 constexpr Duration kCheckpointLoss = milliseconds(100);
 constexpr std::uint32_t kFullPace = 100;
@@ -77,17 +77,17 @@
                     const std::string& id,
                     OwnedWorker& worker) {
   Reports reports;
-  bool still = false;
+  bool stalled = false;
   for (auto& [task, run] : worker.runs) {
     if (!ShowsProgress(run) ||
         !StandsStill(run.progress, context.now, run.spec.estimate)) {
       continue;
     }
-    still = true;
+    stalled = true;
     const bool move =
         run.spec.concurrent ||
         IsWorthMoving(run.progress, context.now, LostByMoving(run));
-    if (!move || !HasPassed(context.now, run.still_told, kStillRepeat)) {
+    if (!move || !HasPassed(context.now, run.still_told, kStallReportRepeat)) {
       continue;
     }
     run.still_told = context.now;
@@ -101,8 +101,8 @@
     AddReport(context, id, task, run, RunState::kStill, reports);
   }
   SendAll(context, reports);
-  if (still) {
-    worker.still_until = context.now + kStillPause;
+  if (stalled) {
+    worker.still_until = context.now + kStallPause;
     RoomChanged(context, id);
   }
 }
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -17,24 +17,24 @@
 
 // Between two reviews of all runs; small against the time in which the run of a
 // cancelled job has to be gone.
-constexpr Duration kReviewInterval = milliseconds(250);
+constexpr Duration kCheckInterval = milliseconds(250);
 // A job's owner asks for each run every kRunCheck, and a slow one a second
 // later.
-constexpr Duration kUnaskedFor = kRunCheck + milliseconds(1000);
+constexpr Duration kUnqueriedTime = kRunCheck + milliseconds(1000);
 // Between two reads of one job's record for this.
-constexpr Duration kAskAgain = milliseconds(1000);
+constexpr Duration kReadInterval = milliseconds(1000);
 
-struct Review {
+struct RunCheck {
   std::set<std::string> ended{};  // jobs
-  std::set<std::string> unsure{};
+  std::set<std::string> unverified{};
   std::map<std::string, RunReports> reports{};  // by the jobs' owners
 };
 
-void ReviewRun(Context& context,
-               const std::string& id,
-               const std::string& task,
-               const LocalRun& run,
-               Review& review) {
+void CheckRun(Context& context,
+              const std::string& id,
+              const std::string& task,
+              const LocalRun& run,
+              RunCheck& check) {
   const auto name = ParseTaskName(task);
   if (!name || run.phase == RunPhase::kStopping) {
     return;
@@ -43,19 +43,19 @@
   const Job* own = FindJob(context.state, name->job);
   const bool ended = own != nullptr ? IsFinal(own->stored_state) : known.ended;
   if (ended) {
-    review.ended.insert(name->job);
+    check.ended.insert(name->job);
     return;
   }
   const std::string owner = OwnerOfJob(context.state, name->job);
-  const bool unasked = HasPassed(context.now, run.asked_for, kUnaskedFor);
-  if ((!owner.empty() && !unasked) ||
-      !HasPassed(context.now, known.reviewed, kAskAgain)) {
+  const bool unqueried = HasPassed(context.now, run.asked_for, kUnqueriedTime);
+  if ((!owner.empty() && !unqueried) ||
+      !HasPassed(context.now, known.reviewed, kReadInterval)) {
     return;
   }
-  review.unsure.insert(name->job);
+  check.unverified.insert(name->job);
   if (!owner.empty()) {
     const bool runs = run.phase == RunPhase::kRunning;
-    review.reports[owner].runs.push_back(
+    check.reports[owner].runs.push_back(
         {.task = task,
          .run = run.run,
          .worker = id,
@@ -67,29 +67,29 @@
 }  // namespace
 
 void ReviewRuns(Context& context) {
-  if (!HasPassed(context.now, context.state.runs_reviewed, kReviewInterval)) {
+  if (!HasPassed(context.now, context.state.runs_reviewed, kCheckInterval)) {
     return;
   }
   context.state.runs_reviewed = context.now;
-  Review review;
+  RunCheck check;
   for (const auto& [id, worker] : context.state.owned) {
     if (!worker.claimed) {
       continue;
     }
     for (const auto& [task, run] : worker.runs) {
-      ReviewRun(context, id, task, run, review);
+      CheckRun(context, id, task, run, check);
     }
   }
-  for (const std::string& it : review.ended) {
+  for (const std::string& it : check.ended) {
     StopRunsOf(context, it);
   }
-  for (const std::string& it : review.unsure) {
+  for (const std::string& it : check.unverified) {
     context.state.known[it].reviewed = context.now;
     if (FindJob(context.state, it) == nullptr) {
       WantRecord(context, it);
     }
   }
-  for (auto& [owner, reports] : review.reports) {
+  for (auto& [owner, reports] : check.reports) {
     Send(context, owner, std::move(reports));
   }
 }
--- a/Source/engine/workers/speed_estimate.cc
+++ b/Source/engine/workers/speed_estimate.cc
@@ -11,7 +11,7 @@
 // to a tenth or a third.
 constexpr std::uint32_t kMinSamples = 4;
 // A worker that turns slow shows after about this many runs.
-constexpr double kMemory = 12;
+constexpr double kWindowRuns = 12;
 constexpr double kMaxRatio = 10;
 constexpr double kHundredths = 100;
 
@@ -32,7 +32,8 @@
       static_cast<double>(took.count()) / static_cast<double>(estimate.count()),
       1 / kMaxRatio, kMaxRatio);
   ++samples_;
-  const double weight = 1 / std::min(static_cast<double>(samples_), kMemory);
+  const double weight =
+      1 / std::min(static_cast<double>(samples_), kWindowRuns);
   log_ratio_ += weight * (std::log(ratio) - log_ratio_);
 }
 
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -29,7 +29,7 @@
 // the length of most runs.
 constexpr Duration kPrepareTime = milliseconds(20'000);
 // For so long after the last message a worker takes nothing new.
-constexpr Duration kLeavingKept = milliseconds(1500);
+constexpr Duration kLeavingTime = milliseconds(1500);
 
 // At most one member may order machines: it must be registered, and chosen for
 // longer than an old list of members may name another one.
@@ -56,7 +56,7 @@
                             .timeout = kMachineTimeout});
 }
 
-void TellWave(Context& context, std::uint64_t number, bool completed) {
+void StoreWaveStatus(Context& context, std::uint64_t number, bool completed) {
   const StoreDocuments& documents = context.state.options.documents;
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.telling = true;
@@ -76,9 +76,9 @@
     return;
   }
   if (!progress.running_told) {
-    TellWave(context, progress.wave.number, false);
+    StoreWaveStatus(context, progress.wave.number, false);
   } else if (!progress.completed_told && IsComplete(progress)) {
-    TellWave(context, progress.wave.number, true);
+    StoreWaveStatus(context, progress.wave.number, true);
   }
 }
 
@@ -146,7 +146,7 @@
   }
 }
 
-void TakePage(Context& context, const MachinePage& page) {
+void AddPage(Context& context, const MachinePage& page) {
   UpkeepState& upkeep = context.state.upkeep;
   for (const Machine& it : page.machines) {
     upkeep.reading[it.name] = it;
@@ -162,14 +162,14 @@
   TakeLives(context, upkeep.machines, upkeep.list_asked);
 }
 
-void AskForList(Context& context) {
+void RequestListing(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.list_asked = context.now;
   upkeep.reading.clear();
   Call(context, ListMachines{});
 }
 
-MachineProgress* FindOrdered(Context& context, const BeginUpkeep& order) {
+MachineProgress* FindMachine(Context& context, const BeginUpkeep& order) {
   const auto wave = context.state.upkeep.waves.find(order.wave);
   if (wave == context.state.upkeep.waves.end()) {
     return nullptr;
@@ -181,7 +181,7 @@
 void OnUpkeepAnswer(Context& context,
                     const BeginUpkeep& order,
                     const MachineAnswer& answer) {
-  MachineProgress* machine = FindOrdered(context, order);
+  MachineProgress* machine = FindMachine(context, order);
   if (machine == nullptr) {
     return;
   }
@@ -243,7 +243,7 @@
   const bool list_due =
       on_duty && HasPassed(context.now, upkeep.list_asked, kListInterval);
   if (may_list && (list_due || WantsLives(context))) {
-    AskForList(context);
+    RequestListing(context);
   }
   upkeep.listed = upkeep.listed && on_duty;
   if (!upkeep.listed) {
@@ -270,7 +270,7 @@
   } else if (const auto* move = std::get_if<MoveMachine>(&event.request)) {
     OnMoveAnswer(context, *move, event.answer);
   } else if (const auto* page = std::get_if<MachinePage>(&event.answer)) {
-    TakePage(context, *page);
+    AddPage(context, *page);
   }
   const bool listing = std::holds_alternative<ListMachines>(event.request);
   if (listing && std::holds_alternative<MachineRefused>(event.answer)) {
@@ -307,7 +307,7 @@
   if (worker == nullptr) {
     return;
   }
-  worker->leaving_until = context.now + kLeavingKept;
+  worker->leaving_until = context.now + kLeavingTime;
   RoomChanged(context, message.worker);
   if (worker->runs.empty() && worker->ends.empty()) {
     return Send(context, from, WorkerPrepared{.worker = message.worker});
--- a/Source/engine/workers/upkeep_rule.cc
+++ b/Source/engine/workers/upkeep_rule.cc
@@ -7,9 +7,9 @@
 namespace {
 
 // An order without an answer may be carried out this much later.
-constexpr Duration kLateOrder = std::chrono::milliseconds(13'000);
+constexpr Duration kMaxCommandDelay = std::chrono::milliseconds(13'000);
 // A listing this much younger than an order's answer shows what came of it.
-constexpr Duration kListingAge = std::chrono::milliseconds(500);
+constexpr Duration kMinListingAge = std::chrono::milliseconds(500);
 
 void Enter(MachineProgress& machine, MachinePhase phase, Time now) {
   machine.phase = phase;
@@ -17,16 +17,16 @@
 }
 
 // It is up again, or still.
-void TakeUp(MachineProgress& machine, const Machine& listed, Time asked) {
+void ApplyUp(MachineProgress& machine, const Machine& listed, Time asked) {
   if (machine.phase != MachinePhase::kOrdered) {
     return;
   }
   const bool renewed =
       !machine.worker.empty() && listed.worker != machine.worker;
-  const bool settled = machine.taken && asked >= machine.since + kListingAge;
+  const bool settled = machine.taken && asked >= machine.since + kMinListingAge;
   if (renewed || settled) {
     Enter(machine, MachinePhase::kDone, asked);
-  } else if (!machine.taken && asked >= machine.since + kLateOrder) {
+  } else if (!machine.taken && asked >= machine.since + kMaxCommandDelay) {
     Enter(machine, MachinePhase::kWaiting, asked);
   }
 }
@@ -52,7 +52,7 @@
                        machine.phase == MachinePhase::kDone;
     switch (listed->second.state) {
       case MachineState::kUp:
-        TakeUp(machine, listed->second, asked);
+        ApplyUp(machine, listed->second, asked);
         break;
       case MachineState::kUpkeep:
         // Whoever ordered it before this instance.
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -17,7 +17,7 @@
 // successor's, as when a cut held it up. Taken for the later one it would end
 // its successor, whose tasks would then run twice. So the workers' owners ask
 // at the address, where only the one that is there answers.
-void AskEarlierLives(Context& context, const WorkerInfo& info) {
+void CheckWorkersAtAddress(Context& context, const WorkerInfo& info) {
   for (auto& [id, worker] : context.state.owned) {
     if (id != info.id && worker.info.address == info.address) {
       worker.proof_wanted = worker.claimed;
@@ -39,7 +39,7 @@
   const auto& info = std::get<WorkerInfo>(decoded);
   const bool is_new = !context.state.workers.contains(id);
   if (is_new) {
-    AskEarlierLives(context, info);
+    CheckWorkersAtAddress(context, info);
   }
   ListedWorker& worker = context.state.workers[id];
   const bool changed = is_new || worker.info != info || !worker.listed;
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -17,10 +17,10 @@
 namespace {
 
 // A run that a former owner started.
-void AddFound(Context& context,
-              OwnedWorker& worker,
-              const RunningRow& row,
-              const TaskName& name) {
+void AddFoundRun(Context& context,
+                 OwnedWorker& worker,
+                 const RunningRow& row,
+                 const TaskName& name) {
   LocalRun& run = worker.runs[row.task];
   run = LocalRun{.run = row.run,
                  .phase = RunPhase::kRunning,
@@ -52,7 +52,7 @@
                   {{"worker", id}, {"problem", "task name " + row.task}});
       return;
     }
-    AddFound(context, worker, row, *name);
+    AddFoundRun(context, worker, row, *name);
     it = worker.runs.find(row.task);
   }
   LocalRun& run = it->second;
@@ -83,10 +83,10 @@
   for (const auto& [task, run] : worker.runs) {
     const bool was_there =
         run.confirmed != Time::min() && run.confirmed < asked;
-    const bool orders_done =
+    const bool commands_done =
         run.phase == RunPhase::kRunning ||
         (run.phase == RunPhase::kStopping && run.stop_answered);
-    if (was_there && orders_done && !listed.contains(task)) {
+    if (was_there && commands_done && !listed.contains(task)) {
       missing.push_back(task);
     }
   }
--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/worker_lives.cc
@@ -14,23 +14,23 @@
 
 // A worker that is paused or slow answers within this time, and a list that
 // lags has a worker by then that was new when it fell silent.
-constexpr Duration kSilentFor = milliseconds(1200);
+constexpr Duration kMinUnresponsiveTime = milliseconds(1200);
 // Between two listings of one instance: its share of the service's rate, 60
 // pages a second at the users', grows smaller with each member. At 30 members
 // that all have silent workers they make 8 listings a second, of 1 to 3 pages.
-constexpr Duration kLivesInterval = milliseconds(1000);
-constexpr Duration kLivesIntervalPerMember = milliseconds(90);
+constexpr Duration kListingInterval = milliseconds(1000);
+constexpr Duration kListingIntervalPerMember = milliseconds(90);
 
 // From then on a listing may tell that the worker has ended. One that has left
 // the store's list was there before, and the service has long known it.
-Time InDoubtSince(const Context& context, const OwnedWorker& worker) {
+Time ListingCountsFrom(const Context& context, const OwnedWorker& worker) {
   const ListedWorker* listed = FindWorker(context.state, worker.info.id);
   const bool left = listed != nullptr && !listed->listed;
-  return worker.silent_since + (left ? Duration(0) : kSilentFor);
+  return worker.silent_since + (left ? Duration(0) : kMinUnresponsiveTime);
 }
 
-bool IsInDoubt(const Context& context, const OwnedWorker& worker) {
-  return IsSilent(worker) && context.now >= InDoubtSince(context, worker);
+bool ListingMayDecide(const Context& context, const OwnedWorker& worker) {
+  return IsSilent(worker) && context.now >= ListingCountsFrom(context, worker);
 }
 
 }  // namespace
@@ -38,13 +38,14 @@
 bool WantsLives(const Context& context) {
   const State& state = context.state;
   const Duration interval =
-      kLivesInterval +
-      kLivesIntervalPerMember *
+      kListingInterval +
+      kListingIntervalPerMember *
           static_cast<std::int64_t>(state.members.present.size());
   return HasPassed(context.now, state.upkeep.list_asked, interval) &&
-         std::any_of(
-             state.owned.begin(), state.owned.end(),
-             [&](const auto& it) { return IsInDoubt(context, it.second); });
+         std::any_of(state.owned.begin(), state.owned.end(),
+                     [&](const auto& it) {
+                       return ListingMayDecide(context, it.second);
+                     });
 }
 
 void TakeLives(Context& context, const MachineList& machines, Time asked) {
@@ -60,7 +61,7 @@
   }
   std::vector<std::string> ended;
   for (const auto& [id, worker] : context.state.owned) {
-    if (IsSilent(worker) && InDoubtSince(context, worker) <= asked &&
+    if (IsSilent(worker) && ListingCountsFrom(context, worker) <= asked &&
         !alive.contains(id)) {
       ended.push_back(id);
     }
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -37,7 +37,7 @@
 // Whoever registers before the last lease has run out may claim the worker and
 // renew what runs there. Without knowing all members up to then, a worker that
 // another one reaches is taken for gone, and its tasks run twice.
-bool IsOwnersWord(const Context& context, const OwnedWorker& worker) {
+bool MayDeclareLost(const Context& context, const OwnedWorker& worker) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
   const Time run_out =
@@ -51,14 +51,14 @@
 // dropped the worker's entry says nothing of its leases: when a failure domain
 // is cut off, the worker and its former owner are cut off together, and the one
 // goes on renewing what runs at the other.
-bool HasRunOut(const Context& context, const OwnedWorker& worker) {
+bool LeasesHaveExpired(const Context& context, const OwnedWorker& worker) {
   return context.now >= worker.lease_bound &&
          context.now >= ForeignLeasesEnd(context, worker);
 }
 
 // A hold got no answer, and no other call has shown since whether the worker is
 // there.
-bool IsMissing(const OwnedWorker& worker) {
+bool HasMissedPoll(const OwnedWorker& worker) {
   return worker.missed_since != Time(0) && !IsSilent(worker);
 }
 
@@ -98,9 +98,9 @@
 }
 
 // A silent worker may be one whose answers have become slow.
-Duration HoldSlack(const Context& context, const OwnedWorker& worker) {
+Duration PollSlack(const Context& context, const OwnedWorker& worker) {
   if (worker.claimed && !IsSilent(worker) &&
-      (IsMissing(worker) || AnswersGetLost(context))) {
+      (HasMissedPoll(worker) || AnswersGetLost(context))) {
     return context.state.worker_answers.time.Timeout(kLeastHoldSlack,
                                                      kHoldSlack);
   }
@@ -108,7 +108,7 @@
 }
 
 // A poll without a wait shows whether a hold was lost or its worker is silent.
-Duration HoldWait(const Context& context, const OwnedWorker& worker) {
+Duration PollWait(const Context& context, const OwnedWorker& worker) {
   if (worker.missed_since != Time(0)) {
     return Duration(0);
   }
@@ -116,7 +116,7 @@
 }
 
 // Renewed often enough that the next hold may get lost.
-void SendHold(Context& context, const std::string& id, OwnedWorker& worker) {
+void SendPoll(Context& context, const std::string& id, OwnedWorker& worker) {
   HoldWorker hold{.acknowledged = worker.acknowledged};
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
@@ -131,7 +131,7 @@
   if (MayRenew(context, worker)) {
     const bool first = worker.lease_until_ms == 0;
     hold.lease_until_ms = NextLease(context, worker);
-    hold.wait = HoldWait(context, worker);
+    hold.wait = PollWait(context, worker);
     if (first) {
       RoomChanged(context, id);  // it can take tasks from now on
     }
@@ -142,11 +142,13 @@
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
                           .request = hold,
-                          .timeout = hold.wait + HoldSlack(context, worker)});
+                          .timeout = hold.wait + PollSlack(context, worker)});
 }
 
 // Polls beside the hold that waits, to learn whether the worker is still owned.
-void SendProof(Context& context, const std::string& id, OwnedWorker& worker) {
+void SendOwnershipCheck(Context& context,
+                        const std::string& id,
+                        OwnedWorker& worker) {
   worker.proof_wanted = false;
   worker.proof_in_flight = true;
   ++context.state.totals.holds;
@@ -158,15 +160,15 @@
                  .timeout = kHoldSlack});
 }
 
-bool IsProof(const HoldWorker& hold) {
+bool IsOwnershipCheck(const HoldWorker& hold) {
   return hold.lease_until_ms == 0 && hold.wait == Duration(0);
 }
 
-void OnHeld(Context& context,
-            const std::string& id,
-            OwnedWorker& worker,
-            const WorkerDone& done,
-            Time asked) {
+void OnPollDone(Context& context,
+                const std::string& id,
+                OwnedWorker& worker,
+                const WorkerDone& done,
+                Time asked) {
   worker.answered = context.now;
   worker.proven = std::max(worker.proven, asked);
   worker.doubted = false;
@@ -203,7 +205,7 @@
   }
 }
 
-void OnProof(Context& context, const WorkerAnswered& event) {
+void OnOwnershipCheckReply(Context& context, const WorkerAnswered& event) {
   OwnedWorker& worker = context.state.owned.at(event.worker);
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
     worker.proven = std::max(worker.proven, event.asked);
@@ -220,12 +222,14 @@
 }
 
 // Announces to the peers that the worker is gone.
-void TellGone(Context& context, const std::string& id, std::uint64_t fence) {
+void AnnounceLost(Context& context,
+                  const std::string& id,
+                  std::uint64_t fence) {
   context.state.gone[id] = GoneWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
-void ForgetGone(Context& context) {
+void ForgetLost(Context& context) {
   std::erase_if(context.state.gone, [&](const auto& it) {
     return HasPassed(context.now, it.second.since, kGoneTold);
   });
@@ -265,25 +269,25 @@
   std::vector<std::string> gone;
   for (auto& [id, worker] : context.state.owned) {
     if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
-      SendProof(context, id, worker);
+      SendOwnershipCheck(context, id, worker);
     }
     if (IsSilent(worker) && IsSurelyRegistered(context) &&
-        HasRunOut(context, worker)) {
-      if (IsOwnersWord(context, worker)) {
+        LeasesHaveExpired(context, worker)) {
+      if (MayDeclareLost(context, worker)) {
         gone.push_back(id);
         continue;
       }
       WantMembers(context);
     }
     if (!worker.hold_in_flight && context.now >= worker.hold_at) {
-      SendHold(context, id, worker);
+      SendPoll(context, id, worker);
     }
     DriveRuns(context, id, worker);
   }
   for (const std::string& it : gone) {
     WorkerIsGone(context, it, "silent past its leases");
   }
-  ForgetGone(context);
+  ForgetLost(context);
 }
 
 void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
@@ -293,11 +297,11 @@
     return;
   }
   OwnedWorker& worker = it->second;
-  if (worker.claimed && worker.proof_in_flight && IsProof(hold) &&
+  if (worker.claimed && worker.proof_in_flight && IsOwnershipCheck(hold) &&
       event.asked != worker.hold_sent) {
     worker.proof_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
-      return OnProof(context, event);
+      return OnOwnershipCheckReply(context, event);
     }
     return;
   }
@@ -307,7 +311,7 @@
     NoteResponse(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    OnHeld(context, event.worker, worker, *done, event.asked);
+    OnPollDone(context, event.worker, worker, *done, event.asked);
     return;
   }
   worker.hold_at = context.now + kHoldRetry;
@@ -402,7 +406,7 @@
                  {"cause", cause},
                  {"runs", std::to_string(node.mapped().runs.size())}});
     ReportLostRuns(context, id, node.mapped());
-    TellGone(context, id, node.mapped().fence);
+    AnnounceLost(context, id, node.mapped().fence);
   }
   RoomView& view = context.state.view[id];
   view.gone = true;
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -19,17 +19,16 @@
 // longest stop and the longest wait for a listing.
 constexpr Duration kStopRepeat = milliseconds(2500);
 // Of the timeout of an order without an answer.
-constexpr std::uint32_t kMostDoublings = 4;
+constexpr std::uint32_t kMaxDoublings = 4;
 
 // Grows with each try: answers that have become slow are else never heard.
-Duration OrderTimeout(const Context& context, std::uint32_t tries) {
+Duration CommandTimeout(const Context& context, std::uint32_t tries) {
   const Duration first = context.state.worker_answers.time.Timeout(
       kLeastOrderTimeout, kOrderTimeout);
-  return std::min(first * (1 << std::min(tries, kMostDoublings)),
-                  kOrderTimeout);
+  return std::min(first * (1 << std::min(tries, kMaxDoublings)), kOrderTimeout);
 }
 
-void NoteOrderAnswer(Context& context, const WorkerAnswered& event) {
+void RecordCommandReply(Context& context, const WorkerAnswered& event) {
   WorkerAnswers& answers = context.state.worker_answers;
   if (std::holds_alternative<WorkerUnreached>(event.answer)) {
     answers.lost_at = context.now;
@@ -38,18 +37,18 @@
   }
 }
 
-void OrderStop(Context& context,
-               const std::string& id,
-               OwnedWorker& worker,
-               const std::string& task,
-               LocalRun& run) {
+void SendStop(Context& context,
+              const std::string& id,
+              OwnedWorker& worker,
+              const std::string& task,
+              LocalRun& run) {
   run.ordered = context.now;
   run.order_in_flight = true;
   context.Emit(CallWorker{
       .worker = id,
       .address = worker.info.address,
       .request = StopRun{.task = task, .run = run.run, .fence = worker.fence},
-      .timeout = OrderTimeout(context, run.order_tries++)});
+      .timeout = CommandTimeout(context, run.order_tries++)});
 }
 
 OfferOutcome OutcomeOf(WorkerRefusalKind kind) {
@@ -135,13 +134,13 @@
 }
 
 // The order was sent to the worker.
-bool IsOrdered(const LocalRun& run) {
+bool StartWasSent(const LocalRun& run) {
   return run.phase != RunPhase::kBooked && run.phase != RunPhase::kAwaitingRoom;
 }
 
-template <typename Order>
-const Order* OrderOf(const WorkerAnswered& event) {
-  return std::get_if<Order>(&event.request);
+template <typename Command>
+const Command* CommandOf(const WorkerAnswered& event) {
+  return std::get_if<Command>(&event.request);
 }
 
 bool MustMove(const Context& context, const OwnedWorker& worker) {
@@ -174,7 +173,7 @@
   } else if (run.phase == RunPhase::kStopping &&
              (!run.stop_answered ||
               HasPassed(context.now, run.ordered, kStopRepeat))) {
-    OrderStop(context, id, worker, task, run);
+    SendStop(context, id, worker, task, run);
   }
 }
 
@@ -198,7 +197,7 @@
                                      .checkpoint = run.checkpoint,
                                      .fence = worker.fence,
                                      .lease_until_ms = worker.lease_until_ms},
-                 .timeout = OrderTimeout(context, run.order_tries++)});
+                 .timeout = CommandTimeout(context, run.order_tries++)});
 }
 
 void NoteResponse(Context& context, const WorkerAnswered& event) {
@@ -230,7 +229,7 @@
   }
   EnterPhase(context, run, RunPhase::kStopping);
   run.stop_answered = false;
-  OrderStop(context, id, worker, task, run);
+  SendStop(context, id, worker, task, run);
 }
 
 void AnswerIfAsked(Context& context,
@@ -279,7 +278,7 @@
                 {.task = it.task, .run = it.run, .worker = it.worker});
       continue;
     }
-    if (!IsOrdered(run->second)) {
+    if (!StartWasSent(run->second)) {
       AnswerOffer(context, from, it.worker, it.task, it.run,
                   OfferOutcome::kStopped);
       RemoveRun(context, it.worker, *worker, it.task);
@@ -290,7 +289,7 @@
 }
 
 void OnOrderAnswer(Context& context, const WorkerAnswered& event) {
-  NoteOrderAnswer(context, event);
+  RecordCommandReply(context, event);
   const auto worker = context.state.owned.find(event.worker);
   if (worker == context.state.owned.end()) {
     return;
@@ -299,8 +298,8 @@
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
     return WorkerIsGone(context, event.worker, "another life answers");
   }
-  const auto* start = OrderOf<StartRun>(event);
-  const auto* stop = OrderOf<StopRun>(event);
+  const auto* start = CommandOf<StartRun>(event);
+  const auto* stop = CommandOf<StopRun>(event);
   const std::uint64_t fence = start != nullptr  ? start->fence
                               : stop != nullptr ? stop->fence
                                                 : 0;
@@ -378,20 +377,20 @@
 
 void StopRunsOf(Context& context, const std::string& job) {
   for (auto& [id, worker] : context.state.owned) {
-    std::vector<std::string> not_ordered;
+    std::vector<std::string> not_started;
     for (auto& [task, run] : worker.runs) {
       const auto name = ParseTaskName(task);
       if (!worker.claimed || !name || name->job != job) {
         continue;
       }
-      if (IsOrdered(run)) {
+      if (StartWasSent(run)) {
         BeginRunStop(context, id, worker, task, run);
       } else {
         AnswerIfAsked(context, id, task, run, OfferOutcome::kStopped);
-        not_ordered.push_back(task);
+        not_started.push_back(task);
       }
     }
-    for (const std::string& it : not_ordered) {
+    for (const std::string& it : not_started) {
       RemoveRun(context, id, worker, it);
     }
   }
