--- a/Source/engine/jobs/open_work.cc
+++ b/Source/engine/jobs/open_work.cc
@@ -32,10 +32,10 @@
 
 // When the claim was first sent; it may not have been yet.
 Time ClaimedSince(const OwnedWorker& worker, Time now) {
-  if (worker.silent_since != Time(0)) {
-    return worker.silent_since;
+  if (worker.unresponsive_since != Time(0)) {
+    return worker.unresponsive_since;
   }
-  return worker.hold_in_flight ? worker.hold_sent : now;
+  return worker.poll_in_flight ? worker.poll_sent_at : now;
 }
 
 }  // namespace
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -108,13 +108,14 @@
     }
     if (Fits(RoomOf(run.spec), PresentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
     } else if (HasPassed(context.now, run.since, kStartPatience)) {
       late.push_back(task);
     }
   }
   for (const std::string& it : late) {
-    AnswerIfAsked(context, id, it, worker.runs.at(it), OfferOutcome::kNoRoom);
+    AnswerPendingOffer(context, id, it, worker.runs.at(it),
+                       OfferOutcome::kNoRoom);
     RemoveRun(context, id, worker, it);
   }
 }
--- a/Source/engine/jobs/run_questions.cc
+++ b/Source/engine/jobs/run_questions.cc
@@ -22,7 +22,8 @@
 // A later offer of the run, should it have been overtaken, is refused.
 void SayAbsent(Context& context, const std::string& to, const RunQuery& query) {
   if (const auto name = ParseTaskName(query.task)) {
-    std::uint64_t& refused = context.state.known[name->job].refused[query.task];
+    std::uint64_t& refused =
+        context.state.known[name->job].refused_runs[query.task];
     refused = std::max(refused, query.run);
   }
   Send(context, to,
@@ -53,8 +54,8 @@
     return;
   }
   KnownJob& known = context.state.known[name->job];
-  if (HasPassed(context.now, known.reviewed, kReviewAgain)) {
-    known.reviewed = context.now;
+  if (HasPassed(context.now, known.last_checked, kReviewAgain)) {
+    known.last_checked = context.now;
     WantRecord(context, name->job);
   }
 }
@@ -68,8 +69,8 @@
                          Time asked) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
-  return IsSilent(worker) && !worker.doubted && members.known_to >= asked &&
-         IsSurelyRegistered(context) &&
+  return IsUnresponsive(worker) && !worker.unverified &&
+         members.known_to >= asked && IsSurelyRegistered(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
              context.self();
 }
@@ -91,7 +92,7 @@
   const auto it = worker->runs.find(query.task);
   if (it != worker->runs.end() && it->second.run == query.run) {
     it->second.owner = to;
-    it->second.asked_for = context.now;
+    it->second.last_queried = context.now;
     const bool runs = it->second.phase == RunPhase::kRunning;
     return Send(context, to,
                 RunReports{.runs = {{.task = query.task,
@@ -101,32 +102,35 @@
                                                    : RunState::kPending,
                                      .checkpoint = it->second.checkpoint}}});
   }
-  if (RepeatEndsOf(*worker, query.task)) {
+  if (RepeatEndReports(*worker, query.task)) {
     return;  // the end itself says more
   }
-  worker->proof_wanted = true;
-  worker->questions.push_back(
-      {.from = to, .task = query.task, .run = query.run, .came = context.now});
+  worker->ownership_check_due = true;
+  worker->pending_run_queries.push_back({.from = to,
+                                         .task = query.task,
+                                         .run = query.run,
+                                         .received_at = context.now});
 }
 
 void AnswerQuestions(Context& context,
                      const std::string& id,
                      OwnedWorker& worker) {
-  std::vector<OpenQuestion> open;
-  for (const OpenQuestion& it : std::exchange(worker.questions, {})) {
-    if (it.came > worker.proven) {
+  std::vector<PendingRunQuery> open;
+  for (const PendingRunQuery& it :
+       std::exchange(worker.pending_run_queries, {})) {
+    if (it.received_at > worker.owned_as_of) {
       open.push_back(it);
       continue;
     }
     const auto run = worker.runs.find(it.task);
     const bool here = run != worker.runs.end() && run->second.run == it.run;
-    if (!here && !RepeatEndsOf(worker, it.task)) {
+    if (!here && !RepeatEndReports(worker, it.task)) {
       SayAbsent(context, it.from,
                 {.task = it.task, .run = it.run, .worker = id});
     }
   }
-  worker.proof_wanted = worker.proof_wanted || !open.empty();
-  worker.questions = std::move(open);
+  worker.ownership_check_due = worker.ownership_check_due || !open.empty();
+  worker.pending_run_queries = std::move(open);
 }
 
 void OnRunQueries(Context& context,
@@ -154,7 +158,7 @@
     if (known.adopted == Time(0)) {
       known.adopted = context.now;
     }
-    known.heard = context.now;
+    known.last_update = context.now;
     asked = std::max(asked, known.adopted);
     jobs.insert(it.job);
     report.jobs.push_back(it.job);
@@ -164,10 +168,11 @@
       continue;
     }
     // Only a worker that is surely owned since the question first came.
-    if (worker.proven >= asked || IsKnownThoughSilent(context, worker, asked)) {
+    if (worker.owned_as_of >= asked ||
+        IsKnownThoughSilent(context, worker, asked)) {
       report.covered.push_back({.worker = id, .fence = worker.fence});
     } else {
-      worker.proof_wanted = true;
+      worker.ownership_check_due = true;
     }
     for (auto& [task, run] : worker.runs) {
       const auto name = ParseTaskName(task);
@@ -175,7 +180,7 @@
         continue;
       }
       run.owner = from;
-      run.asked_for = context.now;
+      run.last_queried = context.now;
       report.runs.push_back({.task = task,
                              .run = run.run,
                              .worker = id,
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -206,7 +206,7 @@
   const auto owned = context.state.owned.find(it.worker);
   if (owned != context.state.owned.end() && owned->second.claimed &&
       owned->second.fence < it.fence) {
-    LoseWorker(context, it.worker);
+    ReleaseWorker(context, it.worker);
   }
   if (it.gone) {
     context.state.workers.erase(it.worker);
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -150,14 +150,14 @@
     members.registered_at = context.now;
     members.last_contact = context.now;
     EndEarlierProcesses(context, context.state.options.self.node);
-    ExtendDoubtedLeases(context);
+    ExtendUnverifiedLeases(context);
     context.Log(EventNumber::kRegistered, {{"fence", std::to_string(fence)}});
   }
   members.fence = std::max(members.fence, fence);
   members.present[context.self()] =
       Member{.record = context.state.options.self, .fence = members.fence};
   MembersChanged(members);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void DriveRegistration(Context& context) {
@@ -197,7 +197,7 @@
   }
   if (!gone.empty()) {
     MembersChanged(context.state.members);
-    ReviewOwnership(context);
+    ScheduleOwnershipCheck(context);
   }
 }
 
@@ -244,7 +244,7 @@
               {{"peer", incarnation}, {"domain", member.record.domain}});
   context.state.digest.askers.insert(incarnation);
   EndEarlierProcesses(context, member.record.node);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void OnMemberRemoved(Context& context, const std::string& key) {
@@ -383,7 +383,7 @@
   members.present.erase(context.self());
   MembersChanged(members);
   DoubtOwnership(context);
-  DoubtWorkers(context);
+  MarkWorkersUnverified(context);
 }
 
 void WantRaise(Context& context) {
--- a/Source/engine/notices.cc
+++ b/Source/engine/notices.cc
@@ -106,19 +106,21 @@
   Reminders& reminders = context.state.notices.claims;
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
-    const bool waits = IsSilent(worker) && leases_end > context.now;
-    if (!waits || !reminders.IsDue(id, context.now, worker.silent_since)) {
+    const bool waits = IsUnresponsive(worker) && leases_end > context.now;
+    if (!waits ||
+        !reminders.IsDue(id, context.now, worker.unresponsive_since)) {
       continue;
     }
     const auto view = context.state.view.find(id);
     const bool known = view != context.state.view.end() &&
                        !view->second.owner.empty() &&
                        view->second.owner != context.self();
-    context.Log(EventNumber::kClaimWaits,
-                {{"worker", id},
-                 {"owner", known ? view->second.owner : "unknown"},
-                 {"for_ms", Milliseconds(context.now - worker.silent_since)},
-                 {"left_ms", Milliseconds(leases_end - context.now)}});
+    context.Log(
+        EventNumber::kClaimWaits,
+        {{"worker", id},
+         {"owner", known ? view->second.owner : "unknown"},
+         {"for_ms", Milliseconds(context.now - worker.unresponsive_since)},
+         {"left_ms", Milliseconds(leases_end - context.now)}});
   }
   reminders.EndRound();
 }
@@ -143,7 +145,7 @@
                  {"task", oldest.second},
                  {"run", std::to_string(worker.runs.at(oldest.second).run)},
                  {"for_ms", Milliseconds(context.now - oldest.first)},
-                 {"silent", IsSilent(worker) ? "yes" : "no"}});
+                 {"silent", IsUnresponsive(worker) ? "yes" : "no"}});
   }
   reminders.EndRound();
 }
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -75,7 +75,7 @@
     known.ended = IsFinal(entry.record->state);
   }
   if (known.ended) {
-    StopRunsOf(context, job);
+    StopRunsOfJob(context, job);
   }
 }
 
@@ -87,7 +87,7 @@
     const auto name = ParseTaskName(task);
     const auto it = name ? known.find(name->job) : known.end();
     if (it != known.end()) {
-      it->second.heard = context.now;
+      it->second.last_update = context.now;
     }
   };
   for (const auto& [id, worker] : context.state.owned) {
@@ -99,10 +99,10 @@
     }
   }
   for (auto& [job, it] : known) {
-    it.heard = it.heard == Time(0) ? context.now : it.heard;
+    it.last_update = it.last_update == Time(0) ? context.now : it.last_update;
   }
   std::erase_if(known, [&](const auto& it) {
-    return HasPassed(context.now, it.second.heard, kKnownKept);
+    return HasPassed(context.now, it.second.last_update, kKnownKept);
   });
 }
 
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -100,7 +100,7 @@
     OnNodePage(context, it.forget, answer);
   }
   void operator()(const ForWaveStatus& it) {
-    OnWaveTold(context, it.wave, it.completed, answer);
+    OnWaveStatusStored(context, it.wave, it.completed, answer);
   }
   void operator()(const ForNothing&) {}
 };
@@ -120,9 +120,9 @@
   }
   void operator()(const WorkerAnswered& it) {
     if (std::holds_alternative<HoldWorker>(it.request)) {
-      OnHoldAnswer(context, it);
+      OnPollReply(context, it);
     } else if (!std::holds_alternative<PaceRun>(it.request)) {
-      OnOrderAnswer(context, it);
+      OnCommandReply(context, it);
     }
   }
   void operator()(const AdviceAnswered& it) { OnAdviceAnswered(context, it); }
@@ -186,7 +186,7 @@
   if (keep) {
     DriveJobs(context);
     DriveCallers(context);
-    ReviewRuns(context);
+    CheckRuns(context);
   }
   DriveAdoption(context);
   DriveCatalog(context);
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -466,7 +466,7 @@
   WorkerAnswers worker_answers{};
   Time ownership_reviewed = Time::min();
   Time runs_reviewed = Time::min();
-  std::map<std::string, GoneWorker> gone{};
+  std::map<std::string, LostWorker> gone{};
   // By then the leases have run out that this instance renewed at workers which
   // it owns no more.
   std::map<std::string, Time> released{};
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -67,12 +67,12 @@
 }
 
 bool NeedsLeaseReports(const Context& context, const OwnedWorker& worker) {
-  return IsSilent(worker) && context.now < worker.foreign_bound;
+  return IsUnresponsive(worker) && context.now < worker.foreign_bound;
 }
 
 // This instance is the worker's owner by all that it knows, or reaches it.
 bool KeepsWorker(const Context& context, const OwnedWorker& worker) {
-  if (worker.claimed && !IsSilent(worker)) {
+  if (worker.claimed && !IsUnresponsive(worker)) {
     return true;
   }
   return IsSurelyRegistered(context) &&
@@ -85,14 +85,15 @@
                                         const OwnedWorker& worker) {
   std::vector<std::string> missing;
   for (const auto& [incarnation, it] : context.state.members.present) {
-    if (incarnation != context.self() && !worker.told.contains(incarnation)) {
+    if (incarnation != context.self() &&
+        !worker.reported_leases.contains(incarnation)) {
       missing.push_back(incarnation);
     }
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
     const bool may_renew = it.replaced_at == kForever &&
                            context.now < DepartedLeasesEnd(context, it);
-    if (may_renew && !worker.told.contains(incarnation)) {
+    if (may_renew && !worker.reported_leases.contains(incarnation)) {
       missing.push_back(incarnation);
     }
   }
@@ -107,10 +108,10 @@
          kLeaseMargin;
 }
 
-void SuspectLeases(Context& context, OwnedWorker& worker) {
+void AssumeForeignLeases(Context& context, OwnedWorker& worker) {
   worker.foreign_bound = context.now + LongestSpan(context);
-  worker.lease_question = ++context.state.last_lease_question;
-  worker.told.clear();
+  worker.lease_query_number = ++context.state.last_lease_question;
+  worker.reported_leases.clear();
 }
 
 Time ForeignLeasesEnd(const Context& context, const OwnedWorker& worker) {
@@ -119,27 +120,29 @@
     if (incarnation == context.self()) {
       continue;
     }
-    const auto report = worker.told.find(incarnation);
-    if (report == worker.told.end()) {
+    const auto report = worker.reported_leases.find(incarnation);
+    if (report == worker.reported_leases.end()) {
       return worker.foreign_bound;
     }
     end = std::max(end, report->second.own_end);
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    const auto report = worker.told.find(incarnation);
+    const auto report = worker.reported_leases.find(incarnation);
     const Time bound = DepartedLeasesEnd(context, it);
-    end = std::max(end, report == worker.told.end()
+    end = std::max(end, report == worker.reported_leases.end()
                             ? bound
                             : std::min(bound, report->second.own_end));
   }
   Time unknown = UnknownLeasesEnd(context);
-  for (const auto& [incarnation, it] : worker.told) {
+  for (const auto& [incarnation, it] : worker.reported_leases) {
     unknown = std::min(unknown, it.others_end);
   }
   return std::min(std::max(end, unknown), worker.foreign_bound);
 }
 
-void RememberLease(Context& context, const std::string& worker, Time end) {
+void RememberReleasedLease(Context& context,
+                           const std::string& worker,
+                           Time end) {
   if (end > context.now) {
     context.state.released[worker] = end;
   }
@@ -165,7 +168,7 @@
     }
     for (const std::string& it : MissingReports(context, worker)) {
       queries[it].workers.push_back(
-          {.worker = id, .number = worker.lease_question});
+          {.worker = id, .number = worker.lease_query_number});
     }
   }
   for (auto& [incarnation, query] : queries) {
@@ -189,7 +192,7 @@
       }
       // After this answer no lease may be renewed any more: the asker counts
       // what runs there as ended when it is over.
-      LoseWorker(context, it.worker);
+      ReleaseWorker(context, it.worker);
     }
     report.ends.push_back(
         {.worker = it.worker,
@@ -207,10 +210,10 @@
   for (const LeaseEnd& it : report.ends) {
     const auto owned = context.state.owned.find(it.worker);
     if (owned != context.state.owned.end() &&
-        owned->second.lease_question == it.number) {
-      owned->second.told[from] =
-          ToldLeases{.own_end = context.now + it.left,
-                     .others_end = context.now + report.others_left};
+        owned->second.lease_query_number == it.number) {
+      owned->second.reported_leases[from] =
+          ReportedLeases{.own_end = context.now + it.left,
+                         .others_end = context.now + report.others_left};
     }
   }
 }
--- a/Source/engine/workers/lease_bounds.h
+++ b/Source/engine/workers/lease_bounds.h
@@ -15,7 +15,7 @@
 
 // Somebody else may have renewed leases there, until now at least. What was
 // told about it before counts no more.
-void SuspectLeases(Context& context, OwnedWorker& worker);
+void AssumeForeignLeases(Context& context, OwnedWorker& worker);
 
 // Never later than what holds for the longest time in which another process may
 // renew leases; sooner when all that may have done so have said until when, or
@@ -23,7 +23,9 @@
 Time ForeignLeasesEnd(const Context& context, const OwnedWorker& worker);
 
 // This instance owns the worker no more; its last leases end at `end`.
-void RememberLease(Context& context, const std::string& worker, Time end);
+void RememberReleasedLease(Context& context,
+                           const std::string& worker,
+                           Time end);
 
 // Of leases from an earlier ownership.
 Time ReleasedLeaseEnd(const Context& context, const std::string& worker);
--- a/Source/engine/workers/pacing.cc
+++ b/Source/engine/workers/pacing.cc
@@ -51,7 +51,7 @@
                                     {"from", std::to_string(run.pace)},
                                     {"to", std::to_string(pace)}});
   run.pace = pace;
-  run.over_since = context.now;
+  run.pace_changed_at = context.now;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
                           .request = PaceRun{.task = task,
@@ -65,20 +65,20 @@
 
 // Down at once to a quarter and then to nothing, up again step by step: a task
 // that serves may be above its target for a few seconds only.
-void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker) {
+void AdjustPace(Context& context, const std::string& id, OwnedWorker& worker) {
   const Interference interference = InterferenceAt(worker);
   for (auto& [task, run] : worker.runs) {
     if (!run.spec.filling || run.phase != RunPhase::kRunning) {
       continue;
     }
     const bool settled =
-        run.over_since == kForever ||
-        HasPassed(context.now, run.over_since, kPaceSettleTime);
+        run.pace_changed_at == kForever ||
+        HasPassed(context.now, run.pace_changed_at, kPaceSettleTime);
     if (interference.disturbed && settled) {
       SetPace(context, id, worker, task, run,
               run.pace > kPaceStep ? kPaceStep : 0);
     } else if (interference.calm && run.pace < kFullPace &&
-               HasPassed(context.now, run.over_since, kCalmTime)) {
+               HasPassed(context.now, run.pace_changed_at, kCalmTime)) {
       SetPace(context, id, worker, task, run,
               std::min(run.pace + kPaceStep, kFullPace));
     }
--- a/Source/engine/workers/pacing.h
+++ b/Source/engine/workers/pacing.h
@@ -8,7 +8,7 @@
 
 namespace burdockrock::engine {
 
-void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker);
+void AdjustPace(Context& context, const std::string& id, OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/pools.cc
+++ b/Source/engine/workers/pools.cc
@@ -43,7 +43,7 @@
                      [](const ServicePolicy& it) { return it.standby; });
 }
 
-void ReviewPressure(Context& context) {
+void UpdatePressure(Context& context) {
   PoolsState& pools = context.state.pools;
   for (const ServicePolicy& it : context.state.configuration.services) {
     if (!it.standby) {
--- a/Source/engine/workers/pools.h
+++ b/Source/engine/workers/pools.h
@@ -10,7 +10,7 @@
 bool HasStandby(const State& state);
 
 // What waits; at every instance, as any may get the duty.
-void ReviewPressure(Context& context);
+void UpdatePressure(Context& context);
 
 // A move to order now, by the one that has the duty. An emptied machine is
 // given back; until then its worker's owner is asked to empty it.
--- a/Source/engine/workers/progress_rule.cc
+++ b/Source/engine/workers/progress_rule.cc
@@ -53,7 +53,7 @@
   return progress;
 }
 
-bool StandsStill(const RunProgress& progress, Time now, Duration estimate) {
+bool IsStalled(const RunProgress& progress, Time now, Duration estimate) {
   const Duration stalled = now - progress.risen_at;
   return progress.percent < kAllPercent && stalled >= kMinStall &&
          ExpectedPace(progress, estimate) *
--- a/Source/engine/workers/progress_rule.h
+++ b/Source/engine/workers/progress_rule.h
@@ -24,7 +24,7 @@
 
 // By its own progress before, or else by its estimate, it should have got
 // further by now.
-bool StandsStill(const RunProgress& progress, Time now, Duration estimate);
+bool IsStalled(const RunProgress& progress, Time now, Duration estimate);
 
 // Starting it again elsewhere throws `lost` away; waiting costs nobody knows
 // how long. It is moved when it has stood still for half of what moving costs,
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -20,18 +20,18 @@
                    const EndedRow& row,
                    const std::string& job) {
   if (row.how == RunEnd::kDone) {
-    worker.recent_failures = 0;
+    worker.consecutive_failures = 0;
     return;
   }
   if (row.how != RunEnd::kFailed || worker.failed_job == job) {
     return;
   }
   worker.failed_job = job;
-  if (++worker.recent_failures < kMaxFailuresInRow) {
+  if (++worker.consecutive_failures < kMaxFailuresInRow) {
     return;
   }
   // One more failure after the quarantine brings the next one.
-  worker.recent_failures = kMaxFailuresInRow - 1;
+  worker.consecutive_failures = kMaxFailuresInRow - 1;
   worker.quarantine_until = context.now + kQuarantine;
   context.Log(
       EventNumber::kWorkerQuarantined,
@@ -71,10 +71,10 @@
               const std::string& id,
               OwnedWorker& worker,
               const EndedRow& row) {
-  if (row.sequence <= worker.seen) {
+  if (row.sequence <= worker.highest_end) {
     return false;
   }
-  worker.seen = row.sequence;
+  worker.highest_end = row.sequence;
   const std::string job = JobOf(row.task);
   worker.ends[row.sequence] = LocalEnd{.row = row};
   RecordOutcome(context, id, worker, row, job);
@@ -89,10 +89,10 @@
       worker.speed.Add(context.now - run->second.since,
                        run->second.spec.estimate);
     }
-    if (run->second.answer_offer) {
+    if (run->second.offer_unanswered) {
       // It started and ended before the order was answered: the end itself
       // tells the job's owner.
-      run->second.answer_offer = false;
+      run->second.offer_unanswered = false;
     }
     worker.runs.erase(run);
   }
@@ -114,11 +114,12 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored || !HasPassed(context.now, end.told, kEndRepeat)) {
+      if (end.stored ||
+          !HasPassed(context.now, end.reported_at, kEndRepeat)) {
         continue;
       }
-      end.told = context.now;
-      if (++end.tellings % kReportsPerRead == 0) {
+      end.reported_at = context.now;
+      if (++end.report_count % kReportsPerRead == 0) {
         WantRecord(context, JobOf(end.row.task));
       }
       const std::string job = JobOf(end.row.task);
@@ -155,11 +156,11 @@
   }
 }
 
-bool RepeatEndsOf(OwnedWorker& worker, const std::string& task) {
+bool RepeatEndReports(OwnedWorker& worker, const std::string& task) {
   bool found = false;
   for (auto& [sequence, end] : worker.ends) {
     if (end.row.task == task) {
-      end.told = Time::min();
+      end.reported_at = Time::min();
       found = true;
     }
   }
--- a/Source/engine/workers/run_ends.h
+++ b/Source/engine/workers/run_ends.h
@@ -23,7 +23,7 @@
 
 // Tells the ends of a task again with the next DriveEnds. False when there is
 // none.
-bool RepeatEndsOf(OwnedWorker& worker, const std::string& task);
+bool RepeatEndReports(OwnedWorker& worker, const std::string& task);
 
 // The worker lists an end of this run of the task, or of a later one.
 bool HasEndOf(const OwnedWorker& worker,
--- a/Source/engine/workers/run_progress.cc
+++ b/Source/engine/workers/run_progress.cc
@@ -73,24 +73,25 @@
 
 }  // namespace
 
-void ReviewProgress(Context& context,
-                    const std::string& id,
-                    OwnedWorker& worker) {
+void CheckProgress(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker) {
   Reports reports;
   bool stalled = false;
   for (auto& [task, run] : worker.runs) {
     if (!ShowsProgress(run) ||
-        !StandsStill(run.progress, context.now, run.spec.estimate)) {
+        !IsStalled(run.progress, context.now, run.spec.estimate)) {
       continue;
     }
     stalled = true;
     const bool move =
         run.spec.concurrent ||
         IsWorthMoving(run.progress, context.now, LostByMoving(run));
-    if (!move || !HasPassed(context.now, run.still_told, kStallReportRepeat)) {
+    if (!move ||
+        !HasPassed(context.now, run.stall_reported, kStallReportRepeat)) {
       continue;
     }
-    run.still_told = context.now;
+    run.stall_reported = context.now;
     context.Log(EventNumber::kRunStandsStill,
                 {{"task", task},
                  {"run", std::to_string(run.run)},
@@ -102,7 +103,7 @@
   }
   SendAll(context, reports);
   if (stalled) {
-    worker.still_until = context.now + kStallPause;
+    worker.stalled_until = context.now + kStallPause;
     RoomChanged(context, id);
   }
 }
--- a/Source/engine/workers/run_progress.h
+++ b/Source/engine/workers/run_progress.h
@@ -11,9 +11,9 @@
 // After a listing of the worker was taken in. A run that stands still is
 // reported, and the worker gets no new tasks for a while: it answers all calls
 // as if it were well, so nothing else would show it.
-void ReviewProgress(Context& context,
-                    const std::string& id,
-                    OwnedWorker& worker);
+void CheckProgress(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker);
 
 // The worker can't be reached: copies of what runs there may start, where the
 // steps allow copies.
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -47,9 +47,10 @@
     return;
   }
   const std::string owner = OwnerOfJob(context.state, name->job);
-  const bool unqueried = HasPassed(context.now, run.asked_for, kUnqueriedTime);
+  const bool unqueried =
+      HasPassed(context.now, run.last_queried, kUnqueriedTime);
   if ((!owner.empty() && !unqueried) ||
-      !HasPassed(context.now, known.reviewed, kReadInterval)) {
+      !HasPassed(context.now, known.last_checked, kReadInterval)) {
     return;
   }
   check.unverified.insert(name->job);
@@ -66,7 +67,7 @@
 
 }  // namespace
 
-void ReviewRuns(Context& context) {
+void CheckRuns(Context& context) {
   if (!HasPassed(context.now, context.state.runs_reviewed, kCheckInterval)) {
     return;
   }
@@ -81,10 +82,10 @@
     }
   }
   for (const std::string& it : check.ended) {
-    StopRunsOf(context, it);
+    StopRunsOfJob(context, it);
   }
   for (const std::string& it : check.unverified) {
-    context.state.known[it].reviewed = context.now;
+    context.state.known[it].last_checked = context.now;
     if (FindJob(context.state, it) == nullptr) {
       WantRecord(context, it);
     }
--- a/Source/engine/workers/run_review.h
+++ b/Source/engine/workers/run_review.h
@@ -14,7 +14,7 @@
 // job are stopped, repeatedly, whoever started them; while its state can't be
 // read they go on. Whoever owns the job now is told of the run, and has it
 // stopped if it knows no use for it.
-void ReviewRuns(Context& context);
+void CheckRuns(Context& context);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -75,9 +75,9 @@
   if (context.state.upkeep.telling) {
     return;
   }
-  if (!progress.running_told) {
+  if (!progress.running_stored) {
     StoreWaveStatus(context, progress.wave.number, false);
-  } else if (!progress.completed_told && IsComplete(progress)) {
+  } else if (!progress.completed_stored && IsComplete(progress)) {
     StoreWaveStatus(context, progress.wave.number, true);
   }
 }
@@ -85,10 +85,10 @@
 void Prepare(Context& context,
              const std::string& name,
              MachineProgress& machine) {
-  if (!HasPassed(context.now, machine.asked, kPrepareRepeat)) {
+  if (!HasPassed(context.now, machine.prepare_requested, kPrepareRepeat)) {
     return;
   }
-  machine.asked = context.now;
+  machine.prepare_requested = context.now;
   const std::string owner = OwnerOfWorker(context, machine.worker);
   if (owner.empty()) {
     context.Log(EventNumber::kUpkeepWaits,
@@ -117,9 +117,9 @@
     Prepare(context, name, machine);
     return false;
   }
-  machine.phase = MachinePhase::kOrdered;
+  machine.phase = MachinePhase::kCommanded;
   machine.since = context.now;
-  machine.taken = false;
+  machine.accepted = false;
   context.Log(EventNumber::kUpkeepOrdered,
               {{"machine", name},
                {"wave", std::to_string(progress.wave.number)},
@@ -135,7 +135,7 @@
   for (const std::string& it : NextMachines(progress, list)) {
     progress.machines[it] = {.phase = MachinePhase::kPreparing,
                              .since = context.now,
-                             .asked = Time::min(),
+                             .prepare_requested = Time::min(),
                              .worker = list.at(it).worker};
   }
   for (auto& [name, machine] : progress.machines) {
@@ -157,9 +157,9 @@
   upkeep.machines = std::exchange(upkeep.reading, {});
   upkeep.listed = true;
   for (auto& [number, wave] : upkeep.waves) {
-    TakeListing(wave, upkeep.machines, upkeep.list_asked);
+    ApplyMachineListing(wave, upkeep.machines, upkeep.list_asked);
   }
-  TakeLives(context, upkeep.machines, upkeep.list_asked);
+  DeclareLostWorkers(context, upkeep.machines, upkeep.list_asked);
 }
 
 void RequestListing(Context& context) {
@@ -186,7 +186,7 @@
     return;
   }
   if (std::holds_alternative<MachineTaken>(answer)) {
-    machine->taken = true;
+    machine->accepted = true;
     machine->since = context.now;
     return;
   }
@@ -233,16 +233,16 @@
   UpkeepState& upkeep = context.state.upkeep;
   const bool open =
       std::any_of(upkeep.waves.begin(), upkeep.waves.end(),
-                  [](const auto& it) { return !it.second.completed_told; });
+                  [](const auto& it) { return !it.second.completed_stored; });
   const bool standby = HasStandby(context.state);
   if (standby) {
-    ReviewPressure(context);
+    UpdatePressure(context);
   }
   const bool on_duty = (open || standby) && HoldsDuty(context);
   const bool may_list = !upkeep.in_flight && context.now >= upkeep.retry_at;
   const bool list_due =
       on_duty && HasPassed(context.now, upkeep.list_asked, kListInterval);
-  if (may_list && (list_due || WantsLives(context))) {
+  if (may_list && (list_due || NeedsMachineListing(context))) {
     RequestListing(context);
   }
   upkeep.listed = upkeep.listed && on_duty;
@@ -250,7 +250,7 @@
     return;
   }
   for (auto& [number, wave] : upkeep.waves) {
-    if (!wave.completed_told) {
+    if (!wave.completed_stored) {
       DriveWave(context, wave);
       DriveStatus(context, wave);
     }
@@ -283,18 +283,18 @@
   }
 }
 
-void OnWaveTold(Context& context,
-                std::uint64_t wave,
-                bool completed,
-                const StoreAnswer& answer) {
+void OnWaveStatusStored(Context& context,
+                        std::uint64_t wave,
+                        bool completed,
+                        const StoreAnswer& answer) {
   context.state.upkeep.telling = false;
   const auto it = context.state.upkeep.waves.find(wave);
   if (it == context.state.upkeep.waves.end() ||
       !std::holds_alternative<StoreDone>(answer)) {
     return;  // repeated
   }
-  it->second.running_told = true;
-  it->second.completed_told = completed;
+  it->second.running_stored = true;
+  it->second.completed_stored = completed;
   context.Log(EventNumber::kWaveTold,
               {{"wave", std::to_string(wave)},
                {"state", completed ? "completed" : "running"}});
--- a/Source/engine/workers/upkeep.h
+++ b/Source/engine/workers/upkeep.h
@@ -14,10 +14,10 @@
 void DriveUpkeep(Context& context);
 
 void OnMachinesAnswered(Context& context, const MachinesAnswered& event);
-void OnWaveTold(Context& context,
-                std::uint64_t wave,
-                bool completed,
-                const StoreAnswer& answer);
+void OnWaveStatusStored(Context& context,
+                        std::uint64_t wave,
+                        bool completed,
+                        const StoreAnswer& answer);
 
 // The worker's owner moves away what runs there, as far as the steps' budgets
 // allow, and says when it is empty.
--- a/Source/engine/workers/upkeep_rule.cc
+++ b/Source/engine/workers/upkeep_rule.cc
@@ -18,15 +18,16 @@
 
 // It is up again, or still.
 void ApplyUp(MachineProgress& machine, const Machine& listed, Time asked) {
-  if (machine.phase != MachinePhase::kOrdered) {
+  if (machine.phase != MachinePhase::kCommanded) {
     return;
   }
   const bool renewed =
       !machine.worker.empty() && listed.worker != machine.worker;
-  const bool settled = machine.taken && asked >= machine.since + kMinListingAge;
+  const bool settled =
+      machine.accepted && asked >= machine.since + kMinListingAge;
   if (renewed || settled) {
     Enter(machine, MachinePhase::kDone, asked);
-  } else if (!machine.taken && asked >= machine.since + kMaxCommandDelay) {
+  } else if (!machine.accepted && asked >= machine.since + kMaxCommandDelay) {
     Enter(machine, MachinePhase::kWaiting, asked);
   }
 }
@@ -41,14 +42,16 @@
   return progress;
 }
 
-void TakeListing(WaveProgress& progress, const MachineList& list, Time asked) {
+void ApplyMachineListing(WaveProgress& progress,
+                         const MachineList& list,
+                         Time asked) {
   for (auto& [name, machine] : progress.machines) {
     const auto listed = list.find(name);
     if (listed == list.end()) {
       Enter(machine, MachinePhase::kDone, asked);  // it has left for good
       continue;
     }
-    const bool begun = machine.phase == MachinePhase::kOrdered ||
+    const bool begun = machine.phase == MachinePhase::kCommanded ||
                        machine.phase == MachinePhase::kDone;
     switch (listed->second.state) {
       case MachineState::kUp:
@@ -57,9 +60,9 @@
       case MachineState::kUpkeep:
         // Whoever ordered it before this instance.
         if (!begun) {
-          Enter(machine, MachinePhase::kOrdered, asked);
+          Enter(machine, MachinePhase::kCommanded, asked);
         }
-        machine.taken = true;
+        machine.accepted = true;
         break;
       case MachineState::kMoving:
       case MachineState::kDown:
@@ -73,7 +76,7 @@
   std::size_t busy = 0;
   for (const auto& [name, machine] : progress.machines) {
     busy += machine.phase == MachinePhase::kPreparing ||
-                    machine.phase == MachinePhase::kOrdered
+                    machine.phase == MachinePhase::kCommanded
                 ? 1
                 : 0;
   }
--- a/Source/engine/workers/upkeep_rule.h
+++ b/Source/engine/workers/upkeep_rule.h
@@ -17,24 +17,24 @@
 enum class MachinePhase {
   kWaiting,
   kPreparing,  // what runs there is moved away
-  kOrdered,    // it goes down, is down, or may do so
+  kCommanded,  // it goes down, is down, or may do so
   kDone,
 };
 
 struct MachineProgress {
   MachinePhase phase = MachinePhase::kWaiting;
-  Time since{0};         // in its phase
-  Time asked{0};         // its worker's owner was last asked to empty it
-  bool empty = false;    // nothing runs there any more
-  bool taken = false;    // the order was answered
-  std::string worker{};  // its life when it was prepared
+  Time since{0};              // in its phase
+  Time prepare_requested{0};  // its worker's owner was last asked to empty it
+  bool empty = false;         // nothing runs there any more
+  bool accepted = false;      // the order was answered
+  std::string worker{};       // its life when it was prepared
 };
 
 struct WaveProgress {
   Wave wave{};
   std::map<std::string, MachineProgress> machines{};
-  bool running_told = false;
-  bool completed_told = false;
+  bool running_stored = false;
+  bool completed_stored = false;
 };
 
 using MachineList = std::map<std::string, Machine>;  // by name
@@ -43,7 +43,9 @@
 WaveProgress BeginWave(Wave wave);
 
 // What a listing that was asked for at `asked` says of the wave's machines.
-void TakeListing(WaveProgress& progress, const MachineList& list, Time asked);
+void ApplyMachineListing(WaveProgress& progress,
+                         const MachineList& list,
+                         Time asked);
 
 // Machines that may be prepared now, so that at most the cap of them are on
 // their way down or not back.
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -20,7 +20,7 @@
 void CheckWorkersAtAddress(Context& context, const WorkerInfo& info) {
   for (auto& [id, worker] : context.state.owned) {
     if (id != info.id && worker.info.address == info.address) {
-      worker.proof_wanted = worker.claimed;
+      worker.ownership_check_due = worker.claimed;
     }
   }
 }
@@ -59,7 +59,7 @@
   }
   context.state.placement_due = true;
   OnWorkerFound(context, id);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void OnWorkerRemoved(Context& context, const std::string& key) {
@@ -141,7 +141,7 @@
     changed = true;
   }
   if (changed) {
-    ReviewOwnership(context);
+    ScheduleOwnershipCheck(context);
   }
 }
 
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -25,7 +25,7 @@
   run = LocalRun{.run = row.run,
                  .phase = RunPhase::kRunning,
                  .described = false,
-                 .asked_for = context.now,
+                 .last_queried = context.now,
                  .checkpoint = row.checkpoint,
                  .since = context.now,
                  .confirmed = context.now,
@@ -36,7 +36,7 @@
   } else {
     WantSpec(context, name.job);
   }
-  context.state.known[name.job].heard = context.now;
+  context.state.known[name.job].last_update = context.now;
   WantRecord(context, name.job);
 }
 
@@ -64,7 +64,7 @@
   run.progress = first ? BeginProgress(context.now, row.percent)
                        : AddProgress(run.progress, context.now, row.percent);
   run.figure = row.figure;
-  Confirm(context, id, row.task, run);
+  ConfirmRun(context, id, row.task, run);
 }
 
 // Runs that the worker had, and that its listing lacks, have ended; their end
@@ -92,8 +92,8 @@
   }
   for (const std::string& it : missing) {
     LocalRun& run = worker.runs[it];
-    if (run.answer_offer) {
-      AnswerIfAsked(context, id, it, run, OfferOutcome::kStopped);
+    if (run.offer_unanswered) {
+      AnswerPendingOffer(context, id, it, run, OfferOutcome::kStopped);
     } else if (!HasEndOf(worker, it, run.run)) {
       ReportLostRun(context, id, it, run);
     }
@@ -125,8 +125,8 @@
   if (ended) {
     RoomChanged(context, id);
   }
-  ReviewPace(context, id, worker);
-  ReviewProgress(context, id, worker);
+  AdjustPace(context, id, worker);
+  CheckProgress(context, id, worker);
 }
 
 void DescribeRuns(Context& context,
--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/worker_lives.cc
@@ -26,16 +26,18 @@
 Time ListingCountsFrom(const Context& context, const OwnedWorker& worker) {
   const ListedWorker* listed = FindWorker(context.state, worker.info.id);
   const bool left = listed != nullptr && !listed->listed;
-  return worker.silent_since + (left ? Duration(0) : kMinUnresponsiveTime);
+  return worker.unresponsive_since +
+         (left ? Duration(0) : kMinUnresponsiveTime);
 }
 
 bool ListingMayDecide(const Context& context, const OwnedWorker& worker) {
-  return IsSilent(worker) && context.now >= ListingCountsFrom(context, worker);
+  return IsUnresponsive(worker) &&
+         context.now >= ListingCountsFrom(context, worker);
 }
 
 }  // namespace
 
-bool WantsLives(const Context& context) {
+bool NeedsMachineListing(const Context& context) {
   const State& state = context.state;
   const Duration interval =
       kListingInterval +
@@ -48,7 +50,9 @@
                      });
 }
 
-void TakeLives(Context& context, const MachineList& machines, Time asked) {
+void DeclareLostWorkers(Context& context,
+                        const MachineList& machines,
+                        Time asked) {
   std::set<std::string> alive;
   for (const auto& [name, machine] : machines) {
     if (machine.state == MachineState::kUp) {
@@ -61,13 +65,13 @@
   }
   std::vector<std::string> ended;
   for (const auto& [id, worker] : context.state.owned) {
-    if (IsSilent(worker) && ListingCountsFrom(context, worker) <= asked &&
+    if (IsUnresponsive(worker) && ListingCountsFrom(context, worker) <= asked &&
         !alive.contains(id)) {
       ended.push_back(id);
     }
   }
   for (const std::string& it : ended) {
-    WorkerIsGone(context, it, "its machine runs another worker or none");
+    DeclareWorkerLost(context, it, "its machine runs another worker or none");
   }
 }
 
--- a/Source/engine/workers/worker_lives.h
+++ b/Source/engine/workers/worker_lives.h
@@ -9,11 +9,13 @@
 namespace burdockrock::engine {
 
 // Some silent worker may still have leases, and a listing is due.
-bool WantsLives(const Context& context);
+bool NeedsMachineListing(const Context& context);
 
 // Takes owned workers that are silent and have no machine for gone. `machines`
 // is a whole listing that was begun at `asked`.
-void TakeLives(Context& context, const MachineList& machines, Time asked);
+void DeclareLostWorkers(Context& context,
+                        const MachineList& machines,
+                        Time asked);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/worker_offers.cc
+++ b/Source/engine/workers/worker_offers.cc
@@ -24,7 +24,7 @@
     return true;
   }
   NoteOwner(known, from, offer.generation);
-  known.heard = context.now;
+  known.last_update = context.now;
   return false;
 }
 
@@ -44,7 +44,7 @@
   }
   run.owner = context.state.known[offer.job].owner;
   run.generation = offer.generation;
-  run.asked_for = context.now;
+  run.last_queried = context.now;
   switch (run.phase) {
     case RunPhase::kBooked:
       if (offer.book_only) {
@@ -52,18 +52,18 @@
       }
       run.ticket = offered.ticket;
       run.checkpoint = offered.checkpoint;
-      run.answer_offer = true;
+      run.offer_unanswered = true;
       EnterPhase(context, run, RunPhase::kStarting);
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
       return std::nullopt;
     case RunPhase::kAwaitingRoom:
     case RunPhase::kStarting:
-      run.answer_offer = true;
+      run.offer_unanswered = true;
       return std::nullopt;
     case RunPhase::kRunning:
       return OfferOutcome::kStarted;
     case RunPhase::kStopping:
-      run.answer_offer = true;
+      run.offer_unanswered = true;
       return std::nullopt;
   }
   return std::nullopt;
@@ -86,13 +86,13 @@
   }
   // An offer can be overtaken by the question what became of it. Once that was
   // answered with "not here", its run may have a successor elsewhere.
-  const auto& refused = context.state.known[offer.job].refused;
+  const auto& refused = context.state.known[offer.job].refused_runs;
   const auto last = refused.find(task);
   if (last != refused.end() && offered.run <= last->second) {
     return OfferOutcome::kOldRun;
   }
   if (HasEndOf(*worker, task, offered.run)) {
-    RepeatEndsOf(*worker, task);
+    RepeatEndReports(*worker, task);
     return std::nullopt;  // the end itself is the answer
   }
   if (!Accepts(context, *worker)) {
@@ -111,19 +111,19 @@
       .spec = offer.spec,
       .owner = from,
       .generation = offer.generation,
-      .asked_for = context.now,
+      .last_queried = context.now,
       .payload = offer.payload,
       .ticket = offered.ticket,
       .checkpoint = offered.checkpoint,
       .priority = offer.priority,
       .since = context.now,
-      .answer_offer = !offer.book_only};
+      .offer_unanswered = !offer.book_only};
   RoomChanged(context, offered.worker);
   if (offer.book_only) {
     return OfferOutcome::kBooked;
   }
   if (fits) {
-    OrderStart(context, offered.worker, *worker, task, run);
+    SendStart(context, offered.worker, *worker, task, run);
   } else {
     run.phase = RunPhase::kAwaitingRoom;
   }
@@ -152,7 +152,7 @@
     }
   }
   if (!answers.answers.empty()) {
-    SendAnswers(context, from, std::move(answers));
+    SendOfferAnswers(context, from, std::move(answers));
   }
 }
 
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -29,9 +29,9 @@
   worker.info = info;
   // What the owner before has learned.
   worker.speed = SpeedEstimate(context.state.view[info.id].slowness);
-  worker.hold_at = context.now;
+  worker.next_poll_at = context.now;
   worker.lease_bound = ReleasedLeaseEnd(context, info.id);
-  SuspectLeases(context, worker);
+  AssumeForeignLeases(context, worker);
 }
 
 // Whoever registers before the last lease has run out may claim the worker and
@@ -59,7 +59,7 @@
 // A hold got no answer, and no other call has shown since whether the worker is
 // there.
 bool HasMissedPoll(const OwnedWorker& worker) {
-  return worker.missed_since != Time(0) && !IsSilent(worker);
+  return worker.missed_since != Time(0) && !IsUnresponsive(worker);
 }
 
 bool MayRenew(const Context& context, const OwnedWorker& worker) {
@@ -76,7 +76,7 @@
 void DropStaleClaims(Context& context) {
   std::erase_if(context.state.owned, [&](const auto& it) {
     const OwnedWorker& worker = it.second;
-    if (worker.claimed || worker.hold_in_flight) {
+    if (worker.claimed || worker.poll_in_flight) {
       return false;
     }
     const std::string owner =
@@ -99,7 +99,7 @@
 
 // A silent worker may be one whose answers have become slow.
 Duration PollSlack(const Context& context, const OwnedWorker& worker) {
-  if (worker.claimed && !IsSilent(worker) &&
+  if (worker.claimed && !IsUnresponsive(worker) &&
       (HasMissedPoll(worker) || AnswersGetLost(context))) {
     return context.state.worker_answers.time.Timeout(kLeastHoldSlack,
                                                      kHoldSlack);
@@ -122,7 +122,7 @@
     if (context.state.members.fence <= worker.fence) {
       // Refused with this one already.
       WantRaise(context);
-      worker.hold_at = context.now + kHoldRetry;
+      worker.next_poll_at = context.now + kHoldRetry;
       return;
     }
     worker.fence = context.state.members.fence;
@@ -136,8 +136,8 @@
       RoomChanged(context, id);  // it can take tasks from now on
     }
   }
-  worker.hold_in_flight = true;
-  worker.hold_sent = context.now;
+  worker.poll_in_flight = true;
+  worker.poll_sent_at = context.now;
   ++context.state.totals.holds;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
@@ -149,8 +149,8 @@
 void SendOwnershipCheck(Context& context,
                         const std::string& id,
                         OwnedWorker& worker) {
-  worker.proof_wanted = false;
-  worker.proof_in_flight = true;
+  worker.ownership_check_due = false;
+  worker.ownership_check_in_flight = true;
   ++context.state.totals.holds;
   context.Emit(
       CallWorker{.worker = id,
@@ -169,19 +169,18 @@
                 OwnedWorker& worker,
                 const WorkerDone& done,
                 Time asked) {
-  worker.answered = context.now;
-  worker.proven = std::max(worker.proven, asked);
-  worker.doubted = false;
-  const bool was_silent = IsSilent(worker);
-  if (std::exchange(worker.silence_told, false)) {
-    context.Log(
-        EventNumber::kWorkerBack,
-        {{"worker", id},
-         {"after_ms",
-          std::to_string(ToMilliseconds(context.now - worker.silent_since))}});
+  worker.last_reply_at = context.now;
+  worker.owned_as_of = std::max(worker.owned_as_of, asked);
+  worker.unverified = false;
+  const bool was_silent = IsUnresponsive(worker);
+  if (std::exchange(worker.unresponsive_logged, false)) {
+    context.Log(EventNumber::kWorkerBack,
+                {{"worker", id},
+                 {"after_ms", std::to_string(ToMilliseconds(
+                                  context.now - worker.unresponsive_since))}});
   }
   worker.missed_since = Time(0);
-  worker.silent_since = Time(0);
+  worker.unresponsive_since = Time(0);
   worker.clock_offset_ms = done.clock_ms - ToMilliseconds(context.now);
   const bool claimed_now = !worker.claimed;
   if (claimed_now) {
@@ -197,7 +196,7 @@
   }
   // A worker that was only polled needs its lease renewed at once.
   const bool renew_now = claimed_now || was_silent;
-  worker.hold_at = context.now + (renew_now ? Duration(0) : kHoldPause);
+  worker.next_poll_at = context.now + (renew_now ? Duration(0) : kHoldPause);
   ApplyListing(context, id, worker, done, asked);
   AnswerQuestions(context, id, worker);
   if (renew_now) {
@@ -208,16 +207,16 @@
 void OnOwnershipCheckReply(Context& context, const WorkerAnswered& event) {
   OwnedWorker& worker = context.state.owned.at(event.worker);
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    worker.proven = std::max(worker.proven, event.asked);
+    worker.owned_as_of = std::max(worker.owned_as_of, event.asked);
     ApplyListing(context, event.worker, worker, *done, event.asked);
     AnswerQuestions(context, event.worker, worker);
     return;
   }
   const WorkerRefusalKind kind = std::get<WorkerRefused>(event.answer).kind;
   if (kind == WorkerRefusalKind::kFenced) {
-    LoseWorker(context, event.worker);
+    ReleaseWorker(context, event.worker);
   } else if (kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    DeclareWorkerLost(context, event.worker, "another life answers");
   }
 }
 
@@ -225,7 +224,7 @@
 void AnnounceLost(Context& context,
                   const std::string& id,
                   std::uint64_t fence) {
-  context.state.gone[id] = GoneWorker{.fence = fence, .since = context.now};
+  context.state.gone[id] = LostWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
@@ -256,7 +255,7 @@
 
 }  // namespace
 
-void ReviewOwnership(Context& context) {
+void ScheduleOwnershipCheck(Context& context) {
   context.state.ownership_reviewed = Time::min();
 }
 
@@ -268,10 +267,11 @@
   }
   std::vector<std::string> gone;
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
+    if (worker.claimed && worker.ownership_check_due &&
+        !worker.ownership_check_in_flight) {
       SendOwnershipCheck(context, id, worker);
     }
-    if (IsSilent(worker) && IsSurelyRegistered(context) &&
+    if (IsUnresponsive(worker) && IsSurelyRegistered(context) &&
         LeasesHaveExpired(context, worker)) {
       if (MayDeclareLost(context, worker)) {
         gone.push_back(id);
@@ -279,42 +279,42 @@
       }
       WantMembers(context);
     }
-    if (!worker.hold_in_flight && context.now >= worker.hold_at) {
+    if (!worker.poll_in_flight && context.now >= worker.next_poll_at) {
       SendPoll(context, id, worker);
     }
     DriveRuns(context, id, worker);
   }
   for (const std::string& it : gone) {
-    WorkerIsGone(context, it, "silent past its leases");
+    DeclareWorkerLost(context, it, "silent past its leases");
   }
   ForgetLost(context);
 }
 
-void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
+void OnPollReply(Context& context, const WorkerAnswered& event) {
   const auto it = context.state.owned.find(event.worker);
   const auto& hold = std::get<HoldWorker>(event.request);
   if (it == context.state.owned.end() || it->second.fence != hold.fence) {
     return;
   }
   OwnedWorker& worker = it->second;
-  if (worker.claimed && worker.proof_in_flight && IsOwnershipCheck(hold) &&
-      event.asked != worker.hold_sent) {
-    worker.proof_in_flight = false;
+  if (worker.claimed && worker.ownership_check_in_flight &&
+      IsOwnershipCheck(hold) && event.asked != worker.poll_sent_at) {
+    worker.ownership_check_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
       return OnOwnershipCheckReply(context, event);
     }
     return;
   }
-  worker.hold_in_flight = false;
+  worker.poll_in_flight = false;
   const bool unreached = std::holds_alternative<WorkerUnreached>(event.answer);
   if (hold.wait == Duration(0) && !unreached) {
-    NoteResponse(context, event);
+    RecordResponseTime(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
     OnPollDone(context, event.worker, worker, *done, event.asked);
     return;
   }
-  worker.hold_at = context.now + kHoldRetry;
+  worker.next_poll_at = context.now + kHoldRetry;
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   const bool fenced =
       refused != nullptr && refused->kind == WorkerRefusalKind::kFenced;
@@ -322,24 +322,24 @@
     // It answers; another owner has it. Counted as silent it would be taken for
     // gone one day, and what runs there would run twice.
     worker.missed_since = Time(0);
-    worker.silent_since = Time(0);
+    worker.unresponsive_since = Time(0);
   } else if (refused == nullptr && worker.claimed &&
              worker.missed_since == Time(0)) {
-    worker.missed_since = worker.hold_sent;
-    worker.hold_at = context.now;
+    worker.missed_since = worker.poll_sent_at;
+    worker.next_poll_at = context.now;
     context.state.worker_answers.lost_at = context.now;
     return;
-  } else if (!IsSilent(worker)) {
+  } else if (!IsUnresponsive(worker)) {
     if (worker.missed_since == Time(0)) {
-      worker.missed_since = worker.hold_sent;
+      worker.missed_since = worker.poll_sent_at;
     }
-    worker.silent_since = worker.missed_since;
+    worker.unresponsive_since = worker.missed_since;
     RoomChanged(context, event.worker);
     ReportUnreached(context, event.worker, worker);
   }
   if (refused == nullptr) {
     const auto& unreached = std::get<WorkerUnreached>(event.answer);
-    if (std::exchange(worker.silence_told, true)) {
+    if (std::exchange(worker.unresponsive_logged, true)) {
       return;
     }
     context.Log(EventNumber::kWorkerSilent,
@@ -347,34 +347,34 @@
     return;
   }
   if (refused->kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    DeclareWorkerLost(context, event.worker, "another life answers");
   } else if (refused->kind == WorkerRefusalKind::kFenced) {
     context.Log(
         EventNumber::kClaimRefused,
         {{"worker", event.worker}, {"fence", std::to_string(hold.fence)}});
     if (worker.claimed) {
-      LoseWorker(context, event.worker);
+      ReleaseWorker(context, event.worker);
     } else {
       WantRaise(context);
     }
   }
 }
 
-void DoubtWorkers(Context& context) {
+void MarkWorkersUnverified(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    worker.doubted = true;
+    worker.unverified = true;
   }
 }
 
-void ExtendDoubtedLeases(Context& context) {
+void ExtendUnverifiedLeases(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.doubted) {
-      SuspectLeases(context, worker);
+    if (worker.unverified) {
+      AssumeForeignLeases(context, worker);
     }
   }
 }
 
-void LoseWorker(Context& context, const std::string& id) {
+void ReleaseWorker(Context& context, const std::string& id) {
   const auto node = context.state.owned.extract(id);
   if (node.empty()) {
     return;
@@ -382,20 +382,22 @@
   context.Log(EventNumber::kOwnershipLost,
               {{"worker", id}, {"fence", std::to_string(node.mapped().fence)}});
   for (const auto& [task, run] : node.mapped().runs) {
-    const bool never_ran =
-        run.phase == RunPhase::kBooked ||
-        run.phase == RunPhase::kAwaitingRoom ||
-        (run.phase == RunPhase::kStarting && run.ordered == Time::min());
-    if (run.answer_offer && never_ran) {
+    const bool never_ran = run.phase == RunPhase::kBooked ||
+                           run.phase == RunPhase::kAwaitingRoom ||
+                           (run.phase == RunPhase::kStarting &&
+                            run.command_sent_at == Time::min());
+    if (run.offer_unanswered && never_ran) {
       AnswerOffer(context, run.owner, id, task, run.run,
                   OfferOutcome::kNotOwner);
     }
   }
   context.state.digest.changed.erase(id);
-  RememberLease(context, id, node.mapped().lease_bound);
+  RememberReleasedLease(context, id, node.mapped().lease_bound);
 }
 
-void WorkerIsGone(Context& context, const std::string& id, const char* cause) {
+void DeclareWorkerLost(Context& context,
+                       const std::string& id,
+                       const char* cause) {
   // Left in the list it would be claimed again with each review until its entry
   // lapses.
   context.state.workers.erase(id);
@@ -443,10 +445,10 @@
       std::all_of(worker.runs.begin(), worker.runs.end(),
                   [](const auto& it) { return it.second.described; });
   return listed != nullptr && listed->listed && !listed->info.draining &&
-         worker.claimed && described && !IsSilent(worker) &&
+         worker.claimed && described && !IsUnresponsive(worker) &&
          worker.lease_until_ms != 0 && context.now >= worker.unhealthy_until &&
          context.now >= worker.quarantine_until &&
-         context.now >= worker.still_until &&
+         context.now >= worker.stalled_until &&
          context.now >= worker.leaving_until;
 }
 
@@ -467,8 +469,8 @@
   return worker.lease_until_ms;
 }
 
-bool IsSilent(const OwnedWorker& worker) {
-  return worker.silent_since != Time(0);
+bool IsUnresponsive(const OwnedWorker& worker) {
+  return worker.unresponsive_since != Time(0);
 }
 
 OwnedWorker* FindClaimed(State& state, const std::string& id) {
--- a/Source/engine/workers/worker_owner.h
+++ b/Source/engine/workers/worker_owner.h
@@ -11,25 +11,27 @@
 // With the next drive this instance begins to claim the workers that it should
 // own. Those that it should no longer own it keeps until their new owner has
 // claimed them.
-void ReviewOwnership(Context& context);
+void ScheduleOwnershipCheck(Context& context);
 
 // Renews, claims and gives up workers, as due.
 void DriveWorkers(Context& context);
 
-void OnHoldAnswer(Context& context, const WorkerAnswered& event);
+void OnPollReply(Context& context, const WorkerAnswered& event);
 
 // The own registration was lost.
-void DoubtWorkers(Context& context);
+void MarkWorkersUnverified(Context& context);
 
 // The registration is back. Workers that have not answered since it was lost
 // may have been renewed by other owners in between.
-void ExtendDoubtedLeases(Context& context);
+void ExtendUnverifiedLeases(Context& context);
 
 // Another owner has a higher fence. All that ran there is the new owner's now.
-void LoseWorker(Context& context, const std::string& id);
+void ReleaseWorker(Context& context, const std::string& id);
 
 // All that ran there has ended.
-void WorkerIsGone(Context& context, const std::string& id, const char* cause);
+void DeclareWorkerLost(Context& context,
+                       const std::string& id,
+                       const char* cause);
 
 // The worker's room or whether it takes tasks has changed.
 void RoomChanged(Context& context, const std::string& id);
@@ -44,7 +46,7 @@
 std::int64_t NextLease(Context& context, OwnedWorker& worker);
 
 // It did not answer the last hold.
-bool IsSilent(const OwnedWorker& worker);
+bool IsUnresponsive(const OwnedWorker& worker);
 
 // Null when it is not owned, or not claimed yet.
 OwnedWorker* FindClaimed(State& state, const std::string& id);
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -33,7 +33,7 @@
   if (std::holds_alternative<WorkerUnreached>(event.answer)) {
     answers.lost_at = context.now;
   } else {
-    NoteResponse(context, event);
+    RecordResponseTime(context, event);
   }
 }
 
@@ -42,13 +42,13 @@
               OwnedWorker& worker,
               const std::string& task,
               LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   context.Emit(CallWorker{
       .worker = id,
       .address = worker.info.address,
       .request = StopRun{.task = task, .run = run.run, .fence = worker.fence},
-      .timeout = CommandTimeout(context, run.order_tries++)});
+      .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
 OfferOutcome OutcomeOf(WorkerRefusalKind kind) {
@@ -84,7 +84,7 @@
     // An earlier try of this order, unanswered, has started it, and it has
     // ended. Answering "refused" would make the job's owner start a task again
     // that may be done: the next listing says how it ended.
-    return Confirm(context, id, task, run);
+    return ConfirmRun(context, id, task, run);
   }
   context.Log(EventNumber::kStartRefused, {{"task", task},
                                            {"run", std::to_string(run.run)},
@@ -99,7 +99,7 @@
     // worker refuses the start, and the job's owner gets its answer.
     return BeginRunStop(context, id, worker, task, run);
   }
-  AnswerIfAsked(context, id, task, run, OutcomeOf(kind));
+  AnswerPendingOffer(context, id, task, run, OutcomeOf(kind));
   RemoveRun(context, id, worker, task);
 }
 
@@ -109,7 +109,7 @@
                    LocalRun& run,
                    const StartRun& order) {
   if (std::holds_alternative<WorkerDone>(event.answer)) {
-    Confirm(context, event.worker, order.task, run);
+    ConfirmRun(context, event.worker, order.task, run);
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
@@ -160,32 +160,32 @@
               OwnedWorker& worker,
               const std::string& task,
               LocalRun& run) {
-  if (run.order_in_flight ||
-      !HasPassed(context.now, run.ordered, kOrderRetry)) {
+  if (run.command_in_flight ||
+      !HasPassed(context.now, run.command_sent_at, kOrderRetry)) {
     return;
   }
   if (run.phase == RunPhase::kStarting) {
     if (HasPassed(context.now, run.since, kStartPatience)) {
       BeginRunStop(context, id, worker, task, run);
     } else {
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
     }
   } else if (run.phase == RunPhase::kStopping &&
              (!run.stop_answered ||
-              HasPassed(context.now, run.ordered, kStopRepeat))) {
+              HasPassed(context.now, run.command_sent_at, kStopRepeat))) {
     SendStop(context, id, worker, task, run);
   }
 }
 
 }  // namespace
 
-void OrderStart(Context& context,
-                const std::string& id,
-                OwnedWorker& worker,
-                const std::string& task,
-                LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+void SendStart(Context& context,
+               const std::string& id,
+               OwnedWorker& worker,
+               const std::string& task,
+               LocalRun& run) {
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   ++context.state.totals.starts;
   context.Emit(
       CallWorker{.worker = id,
@@ -197,16 +197,16 @@
                                      .checkpoint = run.checkpoint,
                                      .fence = worker.fence,
                                      .lease_until_ms = worker.lease_until_ms},
-                 .timeout = CommandTimeout(context, run.order_tries++)});
+                 .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
-void NoteResponse(Context& context, const WorkerAnswered& event) {
+void RecordResponseTime(Context& context, const WorkerAnswered& event) {
   ResponseTime& time = context.state.worker_answers.time;
   time = time.With(context.now - event.asked);
 }
 
 void EnterPhase(Context& context, LocalRun& run, RunPhase phase) {
-  run.order_tries = 0;
+  run.command_attempts = 0;
   run.phase = phase;
   run.since = context.now;
 }
@@ -232,24 +232,24 @@
   SendStop(context, id, worker, task, run);
 }
 
-void AnswerIfAsked(Context& context,
-                   const std::string& id,
-                   const std::string& task,
-                   LocalRun& run,
-                   OfferOutcome outcome) {
-  if (std::exchange(run.answer_offer, false)) {
+void AnswerPendingOffer(Context& context,
+                        const std::string& id,
+                        const std::string& task,
+                        LocalRun& run,
+                        OfferOutcome outcome) {
+  if (std::exchange(run.offer_unanswered, false)) {
     AnswerOffer(context, run.owner, id, task, run.run, outcome);
   }
 }
 
-void Confirm(Context& context,
-             const std::string& id,
-             const std::string& task,
-             LocalRun& run) {
+void ConfirmRun(Context& context,
+                const std::string& id,
+                const std::string& task,
+                LocalRun& run) {
   run.confirmed = context.now;
   if (run.phase == RunPhase::kStarting) {
     EnterPhase(context, run, RunPhase::kRunning);
-    AnswerIfAsked(context, id, task, run, OfferOutcome::kStarted);
+    AnswerPendingOffer(context, id, task, run, OfferOutcome::kStarted);
   }
 }
 
@@ -267,12 +267,12 @@
       continue;
     }
     NoteOwner(known, from, it.generation);
-    known.heard = context.now;
+    known.last_update = context.now;
     const auto run = worker->runs.find(it.task);
     if (run == worker->runs.end() || run->second.run != it.run) {
       // The run's offer may come after this. Taking it would start what the
       // job's owner has just stopped.
-      std::uint64_t& refused = known.refused[it.task];
+      std::uint64_t& refused = known.refused_runs[it.task];
       refused = std::max(refused, it.run);
       ReportRun(context, from,
                 {.task = it.task, .run = it.run, .worker = it.worker});
@@ -288,7 +288,7 @@
   }
 }
 
-void OnOrderAnswer(Context& context, const WorkerAnswered& event) {
+void OnCommandReply(Context& context, const WorkerAnswered& event) {
   RecordCommandReply(context, event);
   const auto worker = context.state.owned.find(event.worker);
   if (worker == context.state.owned.end()) {
@@ -296,7 +296,7 @@
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
-    return WorkerIsGone(context, event.worker, "another life answers");
+    return DeclareWorkerLost(context, event.worker, "another life answers");
   }
   const auto* start = CommandOf<StartRun>(event);
   const auto* stop = CommandOf<StopRun>(event);
@@ -307,7 +307,7 @@
     return;
   }
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kFenced) {
-    return LoseWorker(context, event.worker);
+    return ReleaseWorker(context, event.worker);
   }
   const std::string& task = start != nullptr ? start->task : stop->task;
   const std::uint64_t number = start != nullptr ? start->run : stop->run;
@@ -315,7 +315,7 @@
   if (run == worker->second.runs.end() || run->second.run != number) {
     return;
   }
-  run->second.order_in_flight = false;
+  run->second.command_in_flight = false;
   if (start != nullptr) {
     OnStartAnswer(context, event, worker->second, run->second, *start);
   } else {
@@ -346,9 +346,9 @@
   DriveAwaiting(context, id, worker);
 }
 
-void SendAnswers(Context& context,
-                 const std::string& to,
-                 OfferAnswers answers) {
+void SendOfferAnswers(Context& context,
+                      const std::string& to,
+                      OfferAnswers answers) {
   std::set<std::string> refused;
   for (const OfferAnswer& it : answers.answers) {
     const bool taken = it.outcome == OfferOutcome::kStarted ||
@@ -368,14 +368,14 @@
                  const std::string& task,
                  std::uint64_t run,
                  OfferOutcome outcome) {
-  SendAnswers(context, to,
-              OfferAnswers{.answers = {{.task = task,
-                                        .run = run,
-                                        .worker = worker,
-                                        .outcome = outcome}}});
+  SendOfferAnswers(context, to,
+                   OfferAnswers{.answers = {{.task = task,
+                                             .run = run,
+                                             .worker = worker,
+                                             .outcome = outcome}}});
 }
 
-void StopRunsOf(Context& context, const std::string& job) {
+void StopRunsOfJob(Context& context, const std::string& job) {
   for (auto& [id, worker] : context.state.owned) {
     std::vector<std::string> not_started;
     for (auto& [task, run] : worker.runs) {
@@ -386,7 +386,7 @@
       if (StartWasSent(run)) {
         BeginRunStop(context, id, worker, task, run);
       } else {
-        AnswerIfAsked(context, id, task, run, OfferOutcome::kStopped);
+        AnswerPendingOffer(context, id, task, run, OfferOutcome::kStopped);
         not_started.push_back(task);
       }
     }
--- a/Source/engine/workers/worker_runs.h
+++ b/Source/engine/workers/worker_runs.h
@@ -13,21 +13,21 @@
                  const TaskStops& stops);
 
 // Answers to StartRun and StopRun.
-void OnOrderAnswer(Context& context, const WorkerAnswered& event);
+void OnCommandReply(Context& context, const WorkerAnswered& event);
 
 // Learns how long workers take to answer, from an answer that had not to wait
 // for anything.
-void NoteResponse(Context& context, const WorkerAnswered& event);
+void RecordResponseTime(Context& context, const WorkerAnswered& event);
 
 // Repeats orders without an answer, withdraws starts that take too long, moves
 // runs away from a worker that leaves.
 void DriveRuns(Context& context, const std::string& id, OwnedWorker& worker);
 
-void OrderStart(Context& context,
-                const std::string& id,
-                OwnedWorker& worker,
-                const std::string& task,
-                LocalRun& run);
+void SendStart(Context& context,
+               const std::string& id,
+               OwnedWorker& worker,
+               const std::string& task,
+               LocalRun& run);
 void BeginRunStop(Context& context,
                   const std::string& id,
                   OwnedWorker& worker,
@@ -40,13 +40,15 @@
                const std::string& task);
 
 // The worker has the run, or had it.
-void Confirm(Context& context,
-             const std::string& id,
-             const std::string& task,
-             LocalRun& run);
+void ConfirmRun(Context& context,
+                const std::string& id,
+                const std::string& task,
+                LocalRun& run);
 
 // Adds what room the workers have that refused.
-void SendAnswers(Context& context, const std::string& to, OfferAnswers answers);
+void SendOfferAnswers(Context& context,
+                      const std::string& to,
+                      OfferAnswers answers);
 
 void AnswerOffer(Context& context,
                  const std::string& to,
@@ -54,16 +56,16 @@
                  const std::string& task,
                  std::uint64_t run,
                  OfferOutcome outcome);
-void AnswerIfAsked(Context& context,
-                   const std::string& id,
-                   const std::string& task,
-                   LocalRun& run,
-                   OfferOutcome outcome);
+void AnswerPendingOffer(Context& context,
+                        const std::string& id,
+                        const std::string& task,
+                        LocalRun& run,
+                        OfferOutcome outcome);
 
 // The job has ended: what of it still runs here, nobody else stops. Without
 // this the runs of a cancelled job would go on for ever, their leases renewed,
 // when all instances lost power right after the cancel was acknowledged.
-void StopRunsOf(Context& context, const std::string& job);
+void StopRunsOfJob(Context& context, const std::string& job);
 
 }  // namespace burdockrock::engine
 
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -148,7 +148,7 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
   const std::string still = fleet.seen.back().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(60));
+  fleet.worker(still).Stall(fleet.now(), fleet.now() + seconds(60));
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") > 4; }, seconds(8)));
   fleet.Run(milliseconds(200));
--- a/Tests/engine/fake_worker.cc
+++ b/Tests/engine/fake_worker.cc
@@ -45,12 +45,12 @@
   }
 }
 
-void FakeWorker::StandStill(Time now, Time until) {
+void FakeWorker::Stall(Time now, Time until) {
   Advance(now);
   for (auto& [task, run] : runs_) {
     run.ends += run.ends == kForever ? Duration(0) : until - now;
   }
-  still_until_ = until;
+  stalled_until_ = until;
 }
 
 std::uint32_t FakeWorker::PercentOf(const Run& run, Time now) const {
@@ -58,7 +58,7 @@
   if (run.ends == kForever || run.takes == Duration(0)) {
     return kAll;
   }
-  const Duration left = run.ends - std::max(now, still_until_);
+  const Duration left = run.ends - std::max(now, stalled_until_);
   const double share = static_cast<double>((run.takes - left).count()) /
                        static_cast<double>(run.takes.count());
   return static_cast<std::uint32_t>(share * kAll);
@@ -120,20 +120,20 @@
   if (last_run_.contains(it.task) && it.run <= last_run_[it.task]) {
     return WorkerRefused{.kind = WorkerRefusalKind::kOldRun};
   }
-  const RunPlan planned = plan_order ? plan_order(it) : plan(it.task, it.run);
+  const RunPlan planned = plan_start ? plan_start(it) : plan(it.task, it.run);
   seen_.push_back({.task = it.task,
                    .run = it.run,
                    .worker = info_.id,
                    .payload = it.payload,
                    .checkpoint = it.checkpoint,
                    .began = now});
-  runs_[it.task] =
-      Run{.number = it.run,
-          .seen = seen_.size() - 1,
-          .ends = planned.endless ? kForever
-                                  : std::max(now, still_until_) + planned.takes,
-          .takes = planned.takes,
-          .how = planned.how};
+  runs_[it.task] = Run{
+      .number = it.run,
+      .seen = seen_.size() - 1,
+      .ends = planned.endless ? kForever
+                              : std::max(now, stalled_until_) + planned.takes,
+      .takes = planned.takes,
+      .how = planned.how};
   NotePeak();
   return Done(now);
 }
--- a/Tests/engine/fake_worker.h
+++ b/Tests/engine/fake_worker.h
@@ -47,7 +47,7 @@
   void Advance(Time now);
 
   // What runs there, and what is started meanwhile, makes no progress.
-  void StandStill(Time now, Time until);
+  void Stall(Time now, Time until);
 
   // The process is gone and another one comes with an empty memory.
   void Crash(Time now, const std::string& new_id);
@@ -58,7 +58,7 @@
   std::function<RunPlan(const std::string& task, std::uint64_t run)> plan =
       [](const std::string&, std::uint64_t) { return RunPlan(); };
   // Asked instead, where it is set.
-  std::function<RunPlan(const StartRun& order)> plan_order{};
+  std::function<RunPlan(const StartRun& order)> plan_start{};
 
   // What the worker lists of a run beside its progress.
   std::function<std::int64_t(const std::string& task)> figure =
@@ -102,7 +102,7 @@
   std::uint64_t refused_fences_ = 0;
   std::uint64_t last_end_ = 0;
   Time lease_ends_{0};
-  Time still_until_{0};
+  Time stalled_until_{0};
   std::map<std::string, Run> runs_;
   std::map<std::string, std::uint64_t> last_run_;
   struct ListedEnd {
--- a/Tests/engine/upkeep_test.cc
+++ b/Tests/engine/upkeep_test.cc
@@ -159,23 +159,23 @@
                           {"b", {.name = "b", .worker = "b1"}}};
   CHECK(NextMachines(wave, up) == std::vector<std::string>{"a"});
   wave.machines["a"] = {
-      .phase = MachinePhase::kOrdered, .since = seconds(10), .worker = "a1"};
+      .phase = MachinePhase::kCommanded, .since = seconds(10), .worker = "a1"};
   CHECK(NextMachines(wave, up).empty());
-  TakeListing(wave, up, seconds(20));
-  CHECK(wave.machines["a"].phase == MachinePhase::kOrdered);
-  TakeListing(wave, up, seconds(23));
+  ApplyMachineListing(wave, up, seconds(20));
+  CHECK(wave.machines["a"].phase == MachinePhase::kCommanded);
+  ApplyMachineListing(wave, up, seconds(23));
   CHECK(wave.machines["a"].phase == MachinePhase::kWaiting);
   MachineList down = up;
   down["a"].state = MachineState::kUpkeep;
-  TakeListing(wave, down, seconds(24));
-  CHECK(wave.machines["a"].phase == MachinePhase::kOrdered);
+  ApplyMachineListing(wave, down, seconds(24));
+  CHECK(wave.machines["a"].phase == MachinePhase::kCommanded);
   MachineList renewed = up;
   renewed["a"].worker = "a2";
-  TakeListing(wave, renewed, seconds(26));
+  ApplyMachineListing(wave, renewed, seconds(26));
   CHECK(wave.machines["a"].phase == MachinePhase::kDone);
   CHECK_FALSE(IsComplete(wave));
   renewed.erase("b");  // it has left for good
-  TakeListing(wave, renewed, seconds(27));
+  ApplyMachineListing(wave, renewed, seconds(27));
   CHECK(IsComplete(wave));
 }
 
--- a/Tests/engine/worker_failure_test.cc
+++ b/Tests/engine/worker_failure_test.cc
@@ -124,7 +124,7 @@
   fleet.Submit("n0", "j1", OneStep(12));
   fleet.Run(milliseconds(600));
   const std::string still = fleet.seen.front().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(30));
+  fleet.worker(still).Stall(fleet.now(), fleet.now() + seconds(30));
   fleet.Run(seconds(8));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CheckPromises(fleet);
@@ -146,21 +146,21 @@
                  .spec = {.estimate = milliseconds(500)},
                  .owner = "n0-1",
                  .since = seconds(100) - milliseconds(5)};
-  ReviewProgress(context, "w0", worker);
+  CheckProgress(context, "w0", worker);
   CHECK(effects.empty());
-  CHECK(worker.still_until == Time::min());
+  CHECK(worker.stalled_until == Time::min());
   // Listed, and without progress for long.
   run.since = seconds(90);
   run.progress = BeginProgress(seconds(91), 10);
-  ReviewProgress(context, "w0", worker);
-  CHECK(worker.still_until > context.now);
+  CheckProgress(context, "w0", worker);
+  CHECK(worker.stalled_until > context.now);
 }
 
 // Symptom: a worker that stands still takes one task after the other.
 TEST_CASE("A worker that stands still gets no new tasks") {
   Fleet fleet;
   fleet.Settle();
-  fleet.worker("w0").StandStill(fleet.now(), fleet.now() + seconds(10));
+  fleet.worker("w0").Stall(fleet.now(), fleet.now() + seconds(10));
   for (int it = 0; it < 30; ++it) {
     fleet.Submit("n" + std::to_string(it % 3), "j" + std::to_string(it),
                  OneStep(6));
@@ -208,7 +208,7 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(milliseconds(1500));
   const std::string still = fleet.seen.front().worker.substr(0, 2);
-  fleet.worker(still).StandStill(fleet.now(), fleet.now() + seconds(8));
+  fleet.worker(still).Stall(fleet.now(), fleet.now() + seconds(8));
   fleet.Run(seconds(12));
   CHECK(fleet.StateOf("n1", "j1") == JobState::kCompleted);
   CHECK(CountEnds(fleet, RunEnd::kStopped) >= 1);
--- a/Tests/runtime/engine_measures_test.cc
+++ b/Tests/runtime/engine_measures_test.cc
@@ -94,7 +94,7 @@
   state.owned["w1"] = {.claimed = true};
   state.owned["w1"].runs["j2.0.0.0"] = {.phase = engine::RunPhase::kStopping,
                                         .since = seconds(99)};
-  state.owned["w2"] = {.silent_since = seconds(80)};
+  state.owned["w2"] = {.unresponsive_since = seconds(80)};
   Metrics metrics;
   SetEngineMetrics(metrics, state, seconds(100));
   CHECK(HasLine(metrics, "burdockrock_recovering_jobs 1"));
--- a/Tests/standin/standin_control.cc
+++ b/Tests/standin/standin_control.cc
@@ -133,7 +133,7 @@
   worker->fail = change.fail.value_or(worker->fail);
   worker->late = change.late.value_or(worker->late);
   if (change.still) {
-    worker->worker().StandStill(now, now + *change.still);
+    worker->worker().Stall(now, now + *change.still);
   }
   if (change.draining) {
     steps.List(id, *change.draining);
--- a/Tests/standin/steps_servers.cc
+++ b/Tests/standin/steps_servers.cc
@@ -99,7 +99,7 @@
                                      std::vector<engine::SeenRun>& seen,
                                      DelayQueue& delays)
     : ServerBase(io, delays), wire_(wire), worker_(std::move(info), seen) {
-  worker_.plan_order = [this](const engine::StartRun& order) {
+  worker_.plan_start = [this](const engine::StartRun& order) {
     const Payload payload = ParsePayload(order.payload);
     return engine::RunPlan{.takes = payload.sleep.value_or(kDefaultRun),
                            .how = fail || payload.fail ? engine::RunEnd::kFailed
