--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/lost_workers.cc
@@ -1,4 +1,4 @@
-#include "engine/workers/worker_lives.h"
+#include "engine/workers/lost_workers.h"
 
 #include <algorithm>
 #include <set>
--- a/Source/engine/workers/worker_lives.h
+++ b/Source/engine/workers/lost_workers.h
@@ -1,8 +1,8 @@
 // What the list of machines says of workers that can't be reached: a machine
 // whose worker is another by now, or none, has ended all that ran at the old
 // one. It needs neither the worker nor a former owner.
-#ifndef BURDOCKROCK_ENGINE_WORKERS_WORKER_LIVES_H_
-#define BURDOCKROCK_ENGINE_WORKERS_WORKER_LIVES_H_
+#ifndef BURDOCKROCK_ENGINE_WORKERS_LOST_WORKERS_H_
+#define BURDOCKROCK_ENGINE_WORKERS_LOST_WORKERS_H_
 
 #include "engine/context.h"
 
@@ -19,4 +19,4 @@
 
 }  // namespace burdockrock::engine
 
-#endif  // BURDOCKROCK_ENGINE_WORKERS_WORKER_LIVES_H_
+#endif  // BURDOCKROCK_ENGINE_WORKERS_LOST_WORKERS_H_
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -7,11 +7,11 @@
 #include "engine/jobs/job_runs.h"
 #include "engine/members/membership.h"
 #include "engine/records/store_calls.h"
+#include "engine/workers/lost_workers.h"
 #include "engine/workers/pools.h"
 #include "engine/workers/run_ends.h"
 #include "engine/workers/run_progress.h"
 #include "engine/workers/upkeep_rule.h"
-#include "engine/workers/worker_lives.h"
 #include "engine/workers/worker_owner.h"
 
 namespace burdockrock::engine {
