--- a/Source/engine/workers/lease_bounds.h
+++ b/Source/engine/workers/lease_bounds.h
@@ -15,7 +15,7 @@
 
 // Assumes that other processes have renewed leases at the worker until now, and
 // discards earlier lease reports.
-void SuspectLeases(Context& context, OwnedWorker& worker);
+void AssumeForeignLeases(Context& context, OwnedWorker& worker);
 
 // When the leases that other processes may have renewed have expired. Bounded
 // by the longest time for which a process renews leases without the store;
@@ -25,7 +25,9 @@
 
 // Remembers that the leases of a worker that this instance no longer owns end
 // at `end`.
-void RememberLease(Context& context, const std::string& worker, Time end);
+void RememberReleasedLease(Context& context,
+                           const std::string& worker,
+                           Time end);
 
 // The end of leases from an earlier ownership; 0 when there are none.
 Time ReleasedLeaseEnd(const Context& context, const std::string& worker);
--- a/Source/engine/workers/worker_lives.cc
+++ b/Source/engine/workers/lost_workers.cc
@@ -1,4 +1,4 @@
-#include "engine/workers/worker_lives.h"
+#include "engine/workers/lost_workers.h"
 
 #include <algorithm>
 #include <set>
@@ -14,42 +14,45 @@
 
 // A paused or slow worker replies within this time. A lagging list has by then
 // a worker that was new when it became unresponsive.
-constexpr Duration kSilentFor = milliseconds(1200);
+constexpr Duration kMinUnresponsiveTime = milliseconds(1200);
 // Between two listings of one instance. The machine service allows 60 pages a
 // second for all members together, so the interval grows with their number: 30
 // members that all have unresponsive workers make 8 listings a second, of 1 to
 // 3 pages each.
-constexpr Duration kLivesInterval = milliseconds(1000);
-constexpr Duration kLivesIntervalPerMember = milliseconds(90);
+constexpr Duration kListingInterval = milliseconds(1000);
+constexpr Duration kListingIntervalPerMember = milliseconds(90);
 
 // The time from which a listing without the worker proves that it is lost. A
 // worker that has left the store's list is not new, so the service must know
 // it and no delay is needed.
-Time InDoubtSince(const Context& context, const OwnedWorker& worker) {
+Time ListingCountsFrom(const Context& context, const OwnedWorker& worker) {
   const ListedWorker* listed = FindWorker(context.state, worker.info.id);
   const bool left = listed != nullptr && !listed->listed;
-  return worker.silent_since + (left ? Duration(0) : kSilentFor);
+  return worker.unresponsive_since +
+         (left ? Duration(0) : kMinUnresponsiveTime);
 }
 
-bool IsInDoubt(const Context& context, const OwnedWorker& worker) {
-  return IsSilent(worker) && context.now >= InDoubtSince(context, worker);
+bool ListingMayDecide(const Context& context, const OwnedWorker& worker) {
+  return IsUnresponsive(worker) &&
+         context.now >= ListingCountsFrom(context, worker);
 }
 
 }  // namespace
 
-bool WantsLives(const Context& context) {
+bool NeedsMachineListing(const Context& context) {
   const State& state = context.state;
   const Duration interval =
-      kLivesInterval +
-      kLivesIntervalPerMember *
+      kListingInterval +
+      kListingIntervalPerMember *
           static_cast<std::int64_t>(state.members.present.size());
   return HasPassed(context.now, state.upkeep.list_asked, interval) &&
-         std::any_of(
-             state.owned.begin(), state.owned.end(),
-             [&](const auto& it) { return IsInDoubt(context, it.second); });
+         std::any_of(state.owned.begin(), state.owned.end(),
+                     [&](const auto& it) {
+                       return ListingMayDecide(context, it.second);
+                     });
 }
 
-void TakeLives(Context& context,
+void DeclareLostWorkers(Context& context,
                const MachineList& machines,
                Time requested_at) {
   std::set<std::string> alive;
@@ -64,13 +67,13 @@
   }
   std::vector<std::string> ended;
   for (const auto& [id, worker] : context.state.owned) {
-    if (IsSilent(worker) && InDoubtSince(context, worker) <= requested_at &&
+    if (IsUnresponsive(worker) && ListingCountsFrom(context, worker) <= requested_at &&
         !alive.contains(id)) {
       ended.push_back(id);
     }
   }
   for (const std::string& it : ended) {
-    WorkerIsGone(context, it, "its machine runs another worker or none");
+    DeclareWorkerLost(context, it, "its machine runs another worker or none");
   }
 }
 
--- a/Source/engine/workers/owned_worker.h
+++ b/Source/engine/workers/owned_worker.h
@@ -34,31 +34,31 @@
   bool described = true;  // false: `spec` is not known yet
   std::string owner{};    // incarnation that owns the job
   std::uint64_t generation = 0;
-  Time asked_for{0};  // last query by the job's owner
+  Time last_queried{0};  // last query by the job's owner
   std::string payload{};
   std::string ticket{};
   std::string checkpoint{};
   std::uint32_t priority = 0;
-  Time since{0};               // start of the phase
-  Time ordered = Time::min();  // last start or stop command
-  bool order_in_flight = false;
-  std::uint32_t order_tries = 0;  // commands sent in this phase
-  bool start_unanswered = false;  // a start may still take effect later
+  Time since{0};                       // start of the phase
+  Time command_sent_at = Time::min();  // last start or stop command
+  bool command_in_flight = false;
+  std::uint32_t command_attempts = 0;  // commands sent in this phase
+  bool start_unanswered = false;       // a start may still take effect later
   bool stop_answered = false;
-  Time confirmed = Time::min();  // the worker last confirmed the run
-  bool answer_offer = false;     // the job's owner awaits the outcome
+  Time confirmed = Time::min();   // the worker last confirmed the run
+  bool offer_unanswered = false;  // the job's owner awaits the outcome
   RunProgress progress{};
-  Time still_told = Time::min();  // last report that it is stalled
+  Time stall_reported = Time::min();  // last report that it is stalled
   std::int64_t figure = 0;        // service figure that the worker lists
   std::uint32_t pace = 100;       // percent of full speed
-  Time over_since = kForever;     // last change of `pace`
+  Time pace_changed_at = kForever;     // last change of `pace`
 };
 
 // An end that the worker lists, until the job's owner has stored it.
 struct LocalEnd {
   EndedRow row{};
-  Time told = Time::min();     // last report to the job's owner
-  std::uint32_t tellings = 0;  // reports sent
+  Time reported_at = Time::min();     // last report to the job's owner
+  std::uint32_t report_count = 0;  // reports sent
   bool stored = false;
 };
 
@@ -66,15 +66,15 @@
 // without knowing it must not reply, since the current owner may have started
 // the run. The reply therefore waits until the worker accepts a call with this
 // instance's fence that was sent after the query arrived.
-struct OpenQuestion {
+struct PendingRunQuery {
   std::string from{};
   std::string task{};
   std::uint64_t run = 0;
-  Time came{0};
+  Time received_at{0};
 };
 
 // When leases at a worker have expired, as reported by another process.
-struct ToldLeases {
+struct ReportedLeases {
   Time own_end{0};     // expiry of the leases that it renewed itself
   Time others_end{0};  // expiry of the leases of former or unknown members
 };
@@ -83,45 +83,46 @@
   WorkerInfo info{};
   std::uint64_t fence = 0;  // 0: not claimed yet
   bool claimed = false;     // the worker has answered a poll with `fence`
-  bool hold_in_flight = false;
-  Time hold_sent{0};
-  Time hold_at{0};
-  Time answered = Time::min();  // last reply to a poll
-  Time proven = Time::min();    // latest time of certain ownership
-  bool proof_wanted = false;
-  bool proof_in_flight = false;
-  std::vector<OpenQuestion> questions{};
+  bool poll_in_flight = false;
+  Time poll_sent_at{0};
+  Time next_poll_at{0};
+  Time last_reply_at = Time::min();  // last reply to a poll
+  Time owned_as_of =
+      Time::min();  // latest time of certain ownership
+  bool ownership_check_due = false;
+  bool ownership_check_in_flight = false;
+  std::vector<PendingRunQuery> pending_run_queries{};
   // This instance's registration was lost after the worker's last reply, so
   // others may have claimed the worker and renewed its leases.
-  bool doubted = false;
+  bool unverified = false;
   Time missed_since{0};  // first poll without a reply; 0: none
-  Time silent_since{0};  // the same, once a second poll has failed
-  bool silence_told = false;
+  Time unresponsive_since{0};  // the same, once a second poll has failed
+  bool unresponsive_logged = false;
   // Expiry of all leases that this instance renewed there.
   Time lease_bound{0};
   // Latest expiry of leases that another owner may have renewed there,
   // regardless of what the others report.
   Time foreign_bound{0};
-  std::uint64_t lease_question = 0;  // reports with other numbers are ignored
-  std::map<std::string, ToldLeases> told{};  // by incarnation
-  std::int64_t clock_offset_ms = 0;          // worker's clock minus ours
-  std::int64_t lease_until_ms = 0;  // requested last; on the worker's clock
-  std::uint64_t seen = 0;           // highest sequence number of a listed end
-  std::uint64_t acknowledged = 0;   // ends up to this number are stored
+  std::uint64_t lease_query_number = 0;  // reports with other numbers are ignored
+  std::map<std::string, ReportedLeases> reported_leases{};  // by incarnation
+  std::int64_t clock_offset_ms = 0;  // worker's clock minus ours
+  std::int64_t lease_until_ms = 0;   // requested last; on the worker's clock
+  std::uint64_t highest_end = 0;     // highest sequence number of a listed end
+  std::uint64_t acknowledged = 0;    // ends up to this number are stored
   std::map<std::string, LocalRun> runs{};    // by task
   std::map<std::uint64_t, LocalEnd> ends{};  // by sequence number
   std::uint64_t version = 0;                 // of the free room, for digests
   SpeedEstimate speed{};
   Time unhealthy_until = Time::min();
-  std::uint32_t recent_failures = 0;  // in a row, of different jobs
+  std::uint32_t consecutive_failures = 0;  // in a row, of different jobs
   std::string failed_job{};           // the last one counted
   Time quarantine_until = Time::min();
-  Time still_until = Time::min();    // a run there was stalled
+  Time stalled_until = Time::min();  // a run there was stalled
   Time leaving_until = Time::min();  // its machine is about to go down
 };
 
 // A worker that was declared lost, as announced to the peers.
-struct GoneWorker {
+struct LostWorker {
   std::uint64_t fence = 0;  // of its last owner
   Time since{0};
 };
@@ -133,9 +134,10 @@
   bool ended = false;            // by the job's record in the store
   Time adopted{0};  // the current owner's first query for the job's runs
   // Highest run of each task that was reported to the owner as not here.
-  std::map<std::string, std::uint64_t> refused{};
-  Time heard{0};                // last message about the job
-  Time reviewed = Time::min();  // last read of the record for an unowned run
+  std::map<std::string, std::uint64_t> refused_runs{};
+  Time last_update{0};                // last message about the job
+  Time last_checked =
+      Time::min();  // last read of the record for an unowned run
 };
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/pacing.h
+++ b/Source/engine/workers/pacing.h
@@ -10,7 +10,7 @@
 namespace burdockrock::engine {
 
 // Called after a listing of the worker was taken in.
-void ReviewPace(Context& context, const std::string& id, OwnedWorker& worker);
+void AdjustPace(Context& context, const std::string& id, OwnedWorker& worker);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/pools.h
+++ b/Source/engine/workers/pools.h
@@ -12,7 +12,7 @@
 
 // Updates how long jobs of each service have been waiting. Done by every
 // instance, since any may get the upkeep duty.
-void ReviewPressure(Context& context);
+void UpdatePressure(Context& context);
 
 // The move to command now, for the holder of the upkeep duty. A machine is
 // returned once it is empty; until then its worker's owner is requested to
--- a/Source/engine/workers/progress_rule.h
+++ b/Source/engine/workers/progress_rule.h
@@ -25,7 +25,7 @@
 
 // Whether the run should have progressed by now, by its own earlier pace or
 // else by its estimate.
-bool StandsStill(const RunProgress& progress, Time now, Duration estimate);
+bool IsStalled(const RunProgress& progress, Time now, Duration estimate);
 
 // Whether to restart a stalled run elsewhere, which discards `lost`, the work
 // done so far. How long the stall will last is unknown. Moving the run once it
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -14,24 +14,24 @@
 // Quarantines a worker that fails everything, as it would accept tasks as fast
 // as it fails them. Consecutive failures of different jobs, without a success
 // between them, tell such a worker from a single bad job.
-void NoteOutcome(Context& context,
-                 const std::string& id,
-                 OwnedWorker& worker,
-                 const EndedRow& row,
-                 const std::string& job) {
+void RecordOutcome(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker,
+                   const EndedRow& row,
+                   const std::string& job) {
   if (row.how == RunEnd::kDone) {
-    worker.recent_failures = 0;
+    worker.consecutive_failures = 0;
     return;
   }
   if (row.how != RunEnd::kFailed || worker.failed_job == job) {
     return;
   }
   worker.failed_job = job;
-  if (++worker.recent_failures < kMaxFailuresInRow) {
+  if (++worker.consecutive_failures < kMaxFailuresInRow) {
     return;
   }
   // A single failure after the quarantine starts the next one.
-  worker.recent_failures = kMaxFailuresInRow - 1;
+  worker.consecutive_failures = kMaxFailuresInRow - 1;
   worker.quarantine_until = context.now + kQuarantine;
   context.Log(
       EventNumber::kWorkerQuarantined,
@@ -40,7 +40,7 @@
 
 // Reports of an end without a confirmation after which the job's record is read
 // again, since the job may have another owner.
-constexpr std::uint32_t kTellingsPerRead = 3;
+constexpr std::uint32_t kReportsPerRead = 3;
 
 std::string JobOf(const std::string& task) {
   const auto name = ParseTaskName(task);
@@ -71,13 +71,13 @@
               const std::string& id,
               OwnedWorker& worker,
               const EndedRow& row) {
-  if (row.sequence <= worker.seen) {
+  if (row.sequence <= worker.highest_end) {
     return false;
   }
-  worker.seen = row.sequence;
+  worker.highest_end = row.sequence;
   const std::string job = JobOf(row.task);
   worker.ends[row.sequence] = LocalEnd{.row = row};
-  NoteOutcome(context, id, worker, row, job);
+  RecordOutcome(context, id, worker, row, job);
   const auto run = worker.runs.find(row.task);
   std::optional<Duration> took;
   Duration estimate{0};
@@ -89,10 +89,10 @@
       worker.speed.Add(context.now - run->second.since,
                        run->second.spec.estimate);
     }
-    if (run->second.answer_offer) {
+    if (run->second.offer_unanswered) {
       // The run ended before the reply to its start arrived. The report of the
       // end also answers the offer.
-      run->second.answer_offer = false;
+      run->second.offer_unanswered = false;
     }
     worker.runs.erase(run);
   }
@@ -114,11 +114,12 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored || !HasPassed(context.now, end.told, kEndRepeat)) {
+      if (end.stored ||
+          !HasPassed(context.now, end.reported_at, kEndRepeat)) {
         continue;
       }
-      end.told = context.now;
-      if (++end.tellings % kTellingsPerRead == 0) {
+      end.reported_at = context.now;
+      if (++end.report_count % kReportsPerRead == 0) {
         WantRecord(context, JobOf(end.row.task));
       }
       const std::string job = JobOf(end.row.task);
@@ -155,11 +156,11 @@
   }
 }
 
-bool RepeatEndsOf(OwnedWorker& worker, const std::string& task) {
+bool RepeatEndReports(OwnedWorker& worker, const std::string& task) {
   bool found = false;
   for (auto& [sequence, end] : worker.ends) {
     if (end.row.task == task) {
-      end.told = Time::min();
+      end.reported_at = Time::min();
       found = true;
     }
   }
--- a/Source/engine/workers/run_ends.h
+++ b/Source/engine/workers/run_ends.h
@@ -24,7 +24,7 @@
 
 // Makes the next DriveEnds report the task's ends again. Returns false when the
 // task has none.
-bool RepeatEndsOf(OwnedWorker& worker, const std::string& task);
+bool RepeatEndReports(OwnedWorker& worker, const std::string& task);
 
 // Whether the worker lists an end of this run of the task or of a later one.
 bool HasEndOf(const OwnedWorker& worker,
--- a/Source/engine/workers/run_progress.cc
+++ b/Source/engine/workers/run_progress.cc
@@ -13,10 +13,10 @@
 // A stalled worker accepts new tasks again after this long. Stalls last five to
 // eight seconds, and each early try delays the tasks placed there by a second
 // or two.
-constexpr Duration kStillPause = milliseconds(3000);
+constexpr Duration kStallPause = milliseconds(3000);
 // A stalled run is reported again after this long, in case the report or the
 // command that follows is lost.
-constexpr Duration kStillRepeat = milliseconds(1000);
+constexpr Duration kStallReportRepeat = milliseconds(1000);
 // The most work that stopping a checkpointing run discards.
 constexpr Duration kCheckpointLoss = milliseconds(100);
 constexpr std::uint32_t kFullPace = 100;
@@ -74,24 +74,25 @@
 
 }  // namespace
 
-void ReviewProgress(Context& context,
-                    const std::string& id,
-                    OwnedWorker& worker) {
+void CheckProgress(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker) {
   Reports reports;
-  bool still = false;
+  bool stalled = false;
   for (auto& [task, run] : worker.runs) {
     if (!ShowsProgress(run) ||
-        !StandsStill(run.progress, context.now, run.spec.estimate)) {
+        !IsStalled(run.progress, context.now, run.spec.estimate)) {
       continue;
     }
-    still = true;
+    stalled = true;
     const bool move =
         run.spec.concurrent ||
         IsWorthMoving(run.progress, context.now, LostByMoving(run));
-    if (!move || !HasPassed(context.now, run.still_told, kStillRepeat)) {
+    if (!move ||
+        !HasPassed(context.now, run.stall_reported, kStallReportRepeat)) {
       continue;
     }
-    run.still_told = context.now;
+    run.stall_reported = context.now;
     context.Log(EventNumber::kRunStandsStill,
                 {{"task", task},
                  {"run", std::to_string(run.run)},
@@ -102,8 +103,8 @@
     AddReport(context, id, task, run, RunState::kStill, reports);
   }
   SendAll(context, reports);
-  if (still) {
-    worker.still_until = context.now + kStillPause;
+  if (stalled) {
+    worker.stalled_until = context.now + kStallPause;
     RoomChanged(context, id);
   }
 }
--- a/Source/engine/workers/run_progress.h
+++ b/Source/engine/workers/run_progress.h
@@ -12,9 +12,9 @@
 // Called after a listing of the worker was taken in. Reports stalled runs, and
 // lets the worker accept no new tasks for a while: a stalled worker replies to
 // all calls, so that nothing else shows its state.
-void ReviewProgress(Context& context,
-                    const std::string& id,
-                    OwnedWorker& worker);
+void CheckProgress(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker);
 
 // Called when the worker is unreachable. Copies of its runs may start elsewhere
 // where the steps allow copies.
--- a/Source/engine/workers/run_review.h
+++ b/Source/engine/workers/run_review.h
@@ -14,7 +14,7 @@
 // runs of an ended job are stopped, repeatedly and regardless of which owner
 // started them; while the record can't be read they continue. The job's current
 // owner gets a report of the run and stops it if it is not needed.
-void ReviewRuns(Context& context);
+void CheckRuns(Context& context);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/upkeep.cc
+++ b/Source/engine/workers/upkeep.cc
@@ -7,11 +7,11 @@
 #include "engine/jobs/job_runs.h"
 #include "engine/members/membership.h"
 #include "engine/records/store_calls.h"
+#include "engine/workers/lost_workers.h"
 #include "engine/workers/pools.h"
 #include "engine/workers/run_ends.h"
 #include "engine/workers/run_progress.h"
 #include "engine/workers/upkeep_rule.h"
-#include "engine/workers/worker_lives.h"
 #include "engine/workers/worker_owner.h"
 
 namespace burdockrock::engine {
@@ -29,7 +29,7 @@
 // go first. Longer than most runs.
 constexpr Duration kPrepareTime = milliseconds(20'000);
 // A worker accepts no tasks for this long after the last request to empty it.
-constexpr Duration kLeavingKept = milliseconds(1500);
+constexpr Duration kLeavingTime = milliseconds(1500);
 
 // At most one member may command machines. It must be registered, and must have
 // been chosen for longer than another member may act on an old list of members.
@@ -56,7 +56,7 @@
                             .timeout = kMachineTimeout});
 }
 
-void TellWave(Context& context, std::uint64_t number, bool completed) {
+void StoreWaveStatus(Context& context, std::uint64_t number, bool completed) {
   const StoreDocuments& documents = context.state.options.documents;
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.telling = true;
@@ -75,20 +75,20 @@
   if (context.state.upkeep.telling) {
     return;
   }
-  if (!progress.running_told) {
-    TellWave(context, progress.wave.number, false);
-  } else if (!progress.completed_told && IsComplete(progress)) {
-    TellWave(context, progress.wave.number, true);
+  if (!progress.running_stored) {
+    StoreWaveStatus(context, progress.wave.number, false);
+  } else if (!progress.completed_stored && IsComplete(progress)) {
+    StoreWaveStatus(context, progress.wave.number, true);
   }
 }
 
 void Prepare(Context& context,
              const std::string& name,
              MachineProgress& machine) {
-  if (!HasPassed(context.now, machine.asked, kPrepareRepeat)) {
+  if (!HasPassed(context.now, machine.prepare_requested, kPrepareRepeat)) {
     return;
   }
-  machine.asked = context.now;
+  machine.prepare_requested = context.now;
   const std::string owner = OwnerOfWorker(context, machine.worker);
   if (owner.empty()) {
     context.Log(EventNumber::kUpkeepWaits,
@@ -117,9 +117,9 @@
     Prepare(context, name, machine);
     return false;
   }
-  machine.phase = MachinePhase::kOrdered;
+  machine.phase = MachinePhase::kCommanded;
   machine.since = context.now;
-  machine.taken = false;
+  machine.accepted = false;
   context.Log(EventNumber::kUpkeepOrdered,
               {{"machine", name},
                {"wave", std::to_string(progress.wave.number)},
@@ -135,7 +135,7 @@
   for (const std::string& it : NextMachines(progress, list)) {
     progress.machines[it] = {.phase = MachinePhase::kPreparing,
                              .since = context.now,
-                             .asked = Time::min(),
+                             .prepare_requested = Time::min(),
                              .worker = list.at(it).worker};
   }
   for (auto& [name, machine] : progress.machines) {
@@ -146,7 +146,7 @@
   }
 }
 
-void TakePage(Context& context, const MachinePage& page) {
+void AddPage(Context& context, const MachinePage& page) {
   UpkeepState& upkeep = context.state.upkeep;
   for (const Machine& it : page.machines) {
     upkeep.reading[it.name] = it;
@@ -157,19 +157,19 @@
   upkeep.machines = std::exchange(upkeep.reading, {});
   upkeep.listed = true;
   for (auto& [number, wave] : upkeep.waves) {
-    TakeListing(wave, upkeep.machines, upkeep.list_asked);
+    ApplyMachineListing(wave, upkeep.machines, upkeep.list_asked);
   }
-  TakeLives(context, upkeep.machines, upkeep.list_asked);
+  DeclareLostWorkers(context, upkeep.machines, upkeep.list_asked);
 }
 
-void AskForList(Context& context) {
+void RequestListing(Context& context) {
   UpkeepState& upkeep = context.state.upkeep;
   upkeep.list_asked = context.now;
   upkeep.reading.clear();
   Call(context, ListMachines{});
 }
 
-MachineProgress* FindOrdered(Context& context, const BeginUpkeep& command) {
+MachineProgress* FindMachine(Context& context, const BeginUpkeep& command) {
   const auto wave = context.state.upkeep.waves.find(command.wave);
   if (wave == context.state.upkeep.waves.end()) {
     return nullptr;
@@ -181,12 +181,12 @@
 void OnUpkeepAnswer(Context& context,
                     const BeginUpkeep& command,
                     const MachineAnswer& answer) {
-  MachineProgress* machine = FindOrdered(context, command);
+  MachineProgress* machine = FindMachine(context, command);
   if (machine == nullptr) {
     return;
   }
   if (std::holds_alternative<MachineTaken>(answer)) {
-    machine->taken = true;
+    machine->accepted = true;
     machine->since = context.now;
     return;
   }
@@ -233,24 +233,24 @@
   UpkeepState& upkeep = context.state.upkeep;
   const bool open =
       std::any_of(upkeep.waves.begin(), upkeep.waves.end(),
-                  [](const auto& it) { return !it.second.completed_told; });
+                  [](const auto& it) { return !it.second.completed_stored; });
   const bool standby = HasStandby(context.state);
   if (standby) {
-    ReviewPressure(context);
+    UpdatePressure(context);
   }
   const bool on_duty = (open || standby) && HoldsDuty(context);
   const bool may_list = !upkeep.in_flight && context.now >= upkeep.retry_at;
   const bool list_due =
       on_duty && HasPassed(context.now, upkeep.list_asked, kListInterval);
-  if (may_list && (list_due || WantsLives(context))) {
-    AskForList(context);
+  if (may_list && (list_due || NeedsMachineListing(context))) {
+    RequestListing(context);
   }
   upkeep.listed = upkeep.listed && on_duty;
   if (!upkeep.listed) {
     return;
   }
   for (auto& [number, wave] : upkeep.waves) {
-    if (!wave.completed_told) {
+    if (!wave.completed_stored) {
       DriveWave(context, wave);
       DriveStatus(context, wave);
     }
@@ -270,7 +270,7 @@
   } else if (const auto* move = std::get_if<MoveMachine>(&event.request)) {
     OnMoveAnswer(context, *move, event.answer);
   } else if (const auto* page = std::get_if<MachinePage>(&event.answer)) {
-    TakePage(context, *page);
+    AddPage(context, *page);
   }
   const bool listing = std::holds_alternative<ListMachines>(event.request);
   if (listing && std::holds_alternative<MachineRefused>(event.answer)) {
@@ -283,18 +283,18 @@
   }
 }
 
-void OnWaveTold(Context& context,
-                std::uint64_t wave,
-                bool completed,
-                const StoreAnswer& answer) {
+void OnWaveStatusStored(Context& context,
+                        std::uint64_t wave,
+                        bool completed,
+                        const StoreAnswer& answer) {
   context.state.upkeep.telling = false;
   const auto it = context.state.upkeep.waves.find(wave);
   if (it == context.state.upkeep.waves.end() ||
       !std::holds_alternative<StoreDone>(answer)) {
     return;  // DriveUpkeep writes it again
   }
-  it->second.running_told = true;
-  it->second.completed_told = completed;
+  it->second.running_stored = true;
+  it->second.completed_stored = completed;
   context.Log(EventNumber::kWaveTold,
               {{"wave", std::to_string(wave)},
                {"state", completed ? "completed" : "running"}});
@@ -307,7 +307,7 @@
   if (worker == nullptr) {
     return;
   }
-  worker->leaving_until = context.now + kLeavingKept;
+  worker->leaving_until = context.now + kLeavingTime;
   RoomChanged(context, message.worker);
   if (worker->runs.empty() && worker->ends.empty()) {
     return Send(context, from, WorkerPrepared{.worker = message.worker});
--- a/Source/engine/workers/upkeep.h
+++ b/Source/engine/workers/upkeep.h
@@ -19,10 +19,10 @@
 // Handles a reply of the machine service.
 void OnMachinesAnswered(Context& context, const MachinesAnswered& event);
 // Handles the store's reply to a write of the wave's status.
-void OnWaveTold(Context& context,
-                std::uint64_t wave,
-                bool completed,
-                const StoreAnswer& answer);
+void OnWaveStatusStored(Context& context,
+                        std::uint64_t wave,
+                        bool completed,
+                        const StoreAnswer& answer);
 
 // At the worker's owner: has the worker's runs moved, as far as the steps'
 // budgets allow, and replies once the worker is empty.
--- a/Source/engine/workers/upkeep_rule.cc
+++ b/Source/engine/workers/upkeep_rule.cc
@@ -7,10 +7,10 @@
 namespace {
 
 // A command without a reply may be executed up to this much later.
-constexpr Duration kLateOrder = std::chrono::milliseconds(13'000);
+constexpr Duration kMaxCommandDelay = std::chrono::milliseconds(13'000);
 // A listing requested this much later than the reply to a command reflects the
 // command.
-constexpr Duration kListingAge = std::chrono::milliseconds(500);
+constexpr Duration kMinListingAge = std::chrono::milliseconds(500);
 
 void Enter(MachineProgress& machine, MachinePhase phase, Time now) {
   machine.phase = phase;
@@ -18,19 +18,19 @@
 }
 
 // The machine is listed as up: again, or because it has not gone down yet.
-void TakeUp(MachineProgress& machine,
+void ApplyUp(MachineProgress& machine,
             const Machine& listed,
             Time requested_at) {
-  if (machine.phase != MachinePhase::kOrdered) {
+  if (machine.phase != MachinePhase::kCommanded) {
     return;
   }
   const bool renewed =
       !machine.worker.empty() && listed.worker != machine.worker;
   const bool settled =
-      machine.taken && requested_at >= machine.since + kListingAge;
+      machine.accepted && requested_at >= machine.since + kMinListingAge;
   if (renewed || settled) {
     Enter(machine, MachinePhase::kDone, requested_at);
-  } else if (!machine.taken && requested_at >= machine.since + kLateOrder) {
+  } else if (!machine.accepted && requested_at >= machine.since + kMaxCommandDelay) {
     Enter(machine, MachinePhase::kWaiting, requested_at);
   }
 }
@@ -45,7 +45,7 @@
   return progress;
 }
 
-void TakeListing(WaveProgress& progress,
+void ApplyMachineListing(WaveProgress& progress,
                  const MachineList& list,
                  Time requested_at) {
   for (auto& [name, machine] : progress.machines) {
@@ -55,18 +55,18 @@
       Enter(machine, MachinePhase::kDone, requested_at);
       continue;
     }
-    const bool begun = machine.phase == MachinePhase::kOrdered ||
+    const bool begun = machine.phase == MachinePhase::kCommanded ||
                        machine.phase == MachinePhase::kDone;
     switch (listed->second.state) {
       case MachineState::kUp:
-        TakeUp(machine, listed->second, requested_at);
+        ApplyUp(machine, listed->second, requested_at);
         break;
       case MachineState::kUpkeep:
         // A previous holder of the duty has commanded it.
         if (!begun) {
-          Enter(machine, MachinePhase::kOrdered, requested_at);
+          Enter(machine, MachinePhase::kCommanded, requested_at);
         }
-        machine.taken = true;
+        machine.accepted = true;
         break;
       case MachineState::kMoving:
       case MachineState::kDown:
@@ -80,7 +80,7 @@
   std::size_t busy = 0;
   for (const auto& [name, machine] : progress.machines) {
     busy += machine.phase == MachinePhase::kPreparing ||
-                    machine.phase == MachinePhase::kOrdered
+                    machine.phase == MachinePhase::kCommanded
                 ? 1
                 : 0;
   }
--- a/Source/engine/workers/upkeep_rule.h
+++ b/Source/engine/workers/upkeep_rule.h
@@ -17,24 +17,24 @@
 enum class MachinePhase {
   kWaiting,
   kPreparing,  // its runs are being moved
-  kOrdered,    // it is going down or down, or may still go down
+  kCommanded,  // it is going down or down, or may still go down
   kDone,
 };
 
 struct MachineProgress {
   MachinePhase phase = MachinePhase::kWaiting;
-  Time since{0};         // start of the phase
-  Time asked{0};         // last request to the worker's owner to empty it
-  bool empty = false;    // no runs are left
-  bool taken = false;    // the machine service has accepted the command
-  std::string worker{};  // id of its worker when preparation began
+  Time since{0};              // start of the phase
+  Time prepare_requested{0};  // last request to the worker's owner to empty it
+  bool empty = false;         // no runs are left
+  bool accepted = false;      // the machine service has accepted the command
+  std::string worker{};       // id of its worker when preparation began
 };
 
 struct WaveProgress {
   Wave wave{};
   std::map<std::string, MachineProgress> machines{};
-  bool running_told = false;
-  bool completed_told = false;
+  bool running_stored = false;
+  bool completed_stored = false;
 };
 
 using MachineList = std::map<std::string, Machine>;  // by name
@@ -44,7 +44,7 @@
 
 // Updates the wave's machines from a listing that was requested at
 // `requested_at`.
-void TakeListing(WaveProgress& progress,
+void ApplyMachineListing(WaveProgress& progress,
                  const MachineList& list,
                  Time requested_at);
 
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -18,10 +18,10 @@
 // delayed it. Declaring the other one lost by the order of entries would then
 // run its tasks twice. The workers' owners therefore poll the address, where
 // only the running incarnation replies.
-void AskEarlierLives(Context& context, const WorkerInfo& info) {
+void CheckWorkersAtAddress(Context& context, const WorkerInfo& info) {
   for (auto& [id, worker] : context.state.owned) {
     if (id != info.id && worker.info.address == info.address) {
-      worker.proof_wanted = worker.claimed;
+      worker.ownership_check_due = worker.claimed;
     }
   }
 }
@@ -40,7 +40,7 @@
   const auto& info = std::get<WorkerInfo>(decoded);
   const bool is_new = !context.state.workers.contains(id);
   if (is_new) {
-    AskEarlierLives(context, info);
+    CheckWorkersAtAddress(context, info);
   }
   ListedWorker& worker = context.state.workers[id];
   const bool changed = is_new || worker.info != info || !worker.listed;
@@ -60,7 +60,7 @@
   }
   context.state.placement_due = true;
   OnWorkerFound(context, id);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void OnWorkerRemoved(Context& context, const std::string& key) {
@@ -142,7 +142,7 @@
     changed = true;
   }
   if (changed) {
-    ReviewOwnership(context);
+    ScheduleOwnershipCheck(context);
   }
 }
 
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -17,15 +17,15 @@
 namespace {
 
 // Adds a run that a former owner of the worker started.
-void AddFound(Context& context,
-              OwnedWorker& worker,
-              const RunningRow& row,
-              const TaskName& name) {
+void AddFoundRun(Context& context,
+                 OwnedWorker& worker,
+                 const RunningRow& row,
+                 const TaskName& name) {
   LocalRun& run = worker.runs[row.task];
   run = LocalRun{.run = row.run,
                  .phase = RunPhase::kRunning,
                  .described = false,
-                 .asked_for = context.now,
+                 .last_queried = context.now,
                  .checkpoint = row.checkpoint,
                  .since = context.now,
                  .confirmed = context.now,
@@ -36,7 +36,7 @@
   } else {
     WantSpec(context, name.job);
   }
-  context.state.known[name.job].heard = context.now;
+  context.state.known[name.job].last_update = context.now;
   WantRecord(context, name.job);
 }
 
@@ -52,7 +52,7 @@
                   {{"worker", id}, {"problem", "task name " + row.task}});
       return;
     }
-    AddFound(context, worker, row, *name);
+    AddFoundRun(context, worker, row, *name);
     it = worker.runs.find(row.task);
   }
   LocalRun& run = it->second;
@@ -64,7 +64,7 @@
   run.progress = first ? BeginProgress(context.now, row.percent)
                        : AddProgress(run.progress, context.now, row.percent);
   run.figure = row.figure;
-  Confirm(context, id, row.task, run);
+  ConfirmRun(context, id, row.task, run);
 }
 
 // Removes runs that the worker had and no longer lists: they have ended, and
@@ -83,17 +83,17 @@
   for (const auto& [task, run] : worker.runs) {
     const bool was_there =
         run.confirmed != Time::min() && run.confirmed < requested_at;
-    const bool orders_done =
+    const bool commands_done =
         run.phase == RunPhase::kRunning ||
         (run.phase == RunPhase::kStopping && run.stop_answered);
-    if (was_there && orders_done && !listed.contains(task)) {
+    if (was_there && commands_done && !listed.contains(task)) {
       missing.push_back(task);
     }
   }
   for (const std::string& it : missing) {
     LocalRun& run = worker.runs[it];
-    if (run.answer_offer) {
-      AnswerIfAsked(context, id, it, run, OfferOutcome::kStopped);
+    if (run.offer_unanswered) {
+      AnswerPendingOffer(context, id, it, run, OfferOutcome::kStopped);
     } else if (!HasEndOf(worker, it, run.run)) {
       ReportLostRun(context, id, it, run);
     }
@@ -125,8 +125,8 @@
   if (ended) {
     RoomChanged(context, id);
   }
-  ReviewPace(context, id, worker);
-  ReviewProgress(context, id, worker);
+  AdjustPace(context, id, worker);
+  CheckProgress(context, id, worker);
 }
 
 void DescribeRuns(Context& context,
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -29,16 +29,16 @@
   worker.info = info;
   // The previous owner's estimate, from its digest.
   worker.speed = SpeedEstimate(context.state.view[info.id].slowness);
-  worker.hold_at = context.now;
+  worker.next_poll_at = context.now;
   worker.lease_bound = ReleasedLeaseEnd(context, info.id);
-  SuspectLeases(context, worker);
+  AssumeForeignLeases(context, worker);
 }
 
 // A member that registers before the last lease has expired may claim the
 // worker and renew its leases. Unless all members up to that time are known, a
 // worker that another member reaches could be declared lost, and its tasks
 // would run twice.
-bool IsOwnersWord(const Context& context, const OwnedWorker& worker) {
+bool MayDeclareLost(const Context& context, const OwnedWorker& worker) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
   const Time run_out =
@@ -51,15 +51,15 @@
 // All leases have expired, including those of former owners. A missing entry in
 // the store proves nothing: when a failure domain is cut off, the worker and
 // its former owner can be cut off together, and the owner keeps renewing.
-bool HasRunOut(const Context& context, const OwnedWorker& worker) {
+bool LeasesHaveExpired(const Context& context, const OwnedWorker& worker) {
   return context.now >= worker.lease_bound &&
          context.now >= ForeignLeasesEnd(context, worker);
 }
 
 // One poll got no reply, and the next one has not yet shown whether the worker
 // is reachable.
-bool IsMissing(const OwnedWorker& worker) {
-  return worker.missed_since != Time(0) && !IsSilent(worker);
+bool HasMissedPoll(const OwnedWorker& worker) {
+  return worker.missed_since != Time(0) && !IsUnresponsive(worker);
 }
 
 bool MayRenew(const Context& context, const OwnedWorker& worker) {
@@ -78,7 +78,7 @@
 void DropStaleClaims(Context& context) {
   std::erase_if(context.state.owned, [&](const auto& it) {
     const OwnedWorker& worker = it.second;
-    if (worker.claimed || worker.hold_in_flight) {
+    if (worker.claimed || worker.poll_in_flight) {
       return false;
     }
     const std::string owner =
@@ -101,9 +101,9 @@
 
 // Uses the full slack for an unresponsive worker, whose replies may merely have
 // become slow.
-Duration HoldSlack(const Context& context, const OwnedWorker& worker) {
-  if (worker.claimed && !IsSilent(worker) &&
-      (IsMissing(worker) || AnswersGetLost(context))) {
+Duration PollSlack(const Context& context, const OwnedWorker& worker) {
+  if (worker.claimed && !IsUnresponsive(worker) &&
+      (HasMissedPoll(worker) || AnswersGetLost(context))) {
     return context.state.worker_answers.time.Timeout(kLeastHoldSlack,
                                                      kHoldSlack);
   }
@@ -111,7 +111,7 @@
 }
 
 // A poll without a wait tells a lost reply from an unresponsive worker.
-Duration HoldWait(const Context& context, const OwnedWorker& worker) {
+Duration PollWait(const Context& context, const OwnedWorker& worker) {
   if (worker.missed_since != Time(0)) {
     return Duration(0);
   }
@@ -119,13 +119,13 @@
 }
 
 // Polls the worker. Leases last long enough for the next poll to get lost.
-void SendHold(Context& context, const std::string& id, OwnedWorker& worker) {
+void SendPoll(Context& context, const std::string& id, OwnedWorker& worker) {
   HoldWorker poll{.acknowledged = worker.acknowledged};
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
       // The worker has refused this fence already.
       WantRaise(context);
-      worker.hold_at = context.now + kHoldRetry;
+      worker.next_poll_at = context.now + kHoldRetry;
       return;
     }
     worker.fence = context.state.members.fence;
@@ -134,25 +134,27 @@
   if (MayRenew(context, worker)) {
     const bool first = worker.lease_until_ms == 0;
     poll.lease_until_ms = NextLease(context, worker);
-    poll.wait = HoldWait(context, worker);
+    poll.wait = PollWait(context, worker);
     if (first) {
       RoomChanged(context, id);  // it accepts tasks from now on
     }
   }
-  worker.hold_in_flight = true;
-  worker.hold_sent = context.now;
+  worker.poll_in_flight = true;
+  worker.poll_sent_at = context.now;
   ++context.state.totals.holds;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
                           .request = poll,
-                          .timeout = poll.wait + HoldSlack(context, worker)});
+                          .timeout = poll.wait + PollSlack(context, worker)});
 }
 
 // Polls without a wait, beside the long poll in flight, to check whether the
 // worker still accepts this instance's fence.
-void SendProof(Context& context, const std::string& id, OwnedWorker& worker) {
-  worker.proof_wanted = false;
-  worker.proof_in_flight = true;
+void SendOwnershipCheck(Context& context,
+                        const std::string& id,
+                        OwnedWorker& worker) {
+  worker.ownership_check_due = false;
+  worker.ownership_check_in_flight = true;
   ++context.state.totals.holds;
   context.Emit(
       CallWorker{.worker = id,
@@ -162,28 +164,27 @@
                  .timeout = kHoldSlack});
 }
 
-bool IsProof(const HoldWorker& poll) {
+bool IsOwnershipCheck(const HoldWorker& poll) {
   return poll.lease_until_ms == 0 && poll.wait == Duration(0);
 }
 
-void OnHeld(Context& context,
-            const std::string& id,
-            OwnedWorker& worker,
-            const WorkerDone& done,
-            Time requested_at) {
-  worker.answered = context.now;
-  worker.proven = std::max(worker.proven, requested_at);
-  worker.doubted = false;
-  const bool was_unresponsive = IsSilent(worker);
-  if (std::exchange(worker.silence_told, false)) {
-    context.Log(
-        EventNumber::kWorkerBack,
-        {{"worker", id},
-         {"after_ms",
-          std::to_string(ToMilliseconds(context.now - worker.silent_since))}});
+void OnPollDone(Context& context,
+                const std::string& id,
+                OwnedWorker& worker,
+                const WorkerDone& done,
+                Time requested_at) {
+  worker.last_reply_at = context.now;
+  worker.owned_as_of = std::max(worker.owned_as_of, requested_at);
+  worker.unverified = false;
+  const bool was_unresponsive = IsUnresponsive(worker);
+  if (std::exchange(worker.unresponsive_logged, false)) {
+    context.Log(EventNumber::kWorkerBack,
+                {{"worker", id},
+                 {"after_ms", std::to_string(ToMilliseconds(
+                                  context.now - worker.unresponsive_since))}});
   }
   worker.missed_since = Time(0);
-  worker.silent_since = Time(0);
+  worker.unresponsive_since = Time(0);
   worker.clock_offset_ms = done.clock_ms - ToMilliseconds(context.now);
   const bool claimed_now = !worker.claimed;
   if (claimed_now) {
@@ -199,7 +200,7 @@
   }
   // A poll without a lease must be followed by a renewal at once.
   const bool renew_now = claimed_now || was_unresponsive;
-  worker.hold_at = context.now + (renew_now ? Duration(0) : kHoldPause);
+  worker.next_poll_at = context.now + (renew_now ? Duration(0) : kHoldPause);
   ApplyListing(context, id, worker, done, requested_at);
   AnswerQuestions(context, id, worker);
   if (renew_now) {
@@ -207,29 +208,31 @@
   }
 }
 
-void OnProof(Context& context, const WorkerAnswered& event) {
+void OnOwnershipCheckReply(Context& context, const WorkerAnswered& event) {
   OwnedWorker& worker = context.state.owned.at(event.worker);
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    worker.proven = std::max(worker.proven, event.asked);
+    worker.owned_as_of = std::max(worker.owned_as_of, event.asked);
     ApplyListing(context, event.worker, worker, *done, event.asked);
     AnswerQuestions(context, event.worker, worker);
     return;
   }
   const WorkerRefusalKind kind = std::get<WorkerRefused>(event.answer).kind;
   if (kind == WorkerRefusalKind::kFenced) {
-    LoseWorker(context, event.worker);
+    ReleaseWorker(context, event.worker);
   } else if (kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "replaced by another incarnation");
+    DeclareWorkerLost(context, event.worker, "replaced by another incarnation");
   }
 }
 
 // Announces to the peers that the worker is lost.
-void TellGone(Context& context, const std::string& id, std::uint64_t fence) {
-  context.state.gone[id] = GoneWorker{.fence = fence, .since = context.now};
+void AnnounceLost(Context& context,
+                  const std::string& id,
+                  std::uint64_t fence) {
+  context.state.gone[id] = LostWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
-void ForgetGone(Context& context) {
+void ForgetLost(Context& context) {
   std::erase_if(context.state.gone, [&](const auto& it) {
     return HasPassed(context.now, it.second.since, kGoneTold);
   });
@@ -256,7 +259,7 @@
 
 }  // namespace
 
-void ReviewOwnership(Context& context) {
+void ScheduleOwnershipCheck(Context& context) {
   context.state.ownership_reviewed = Time::min();
 }
 
@@ -268,53 +271,54 @@
   }
   std::vector<std::string> lost;
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
-      SendProof(context, id, worker);
+    if (worker.claimed && worker.ownership_check_due &&
+        !worker.ownership_check_in_flight) {
+      SendOwnershipCheck(context, id, worker);
     }
-    if (IsSilent(worker) && IsSurelyRegistered(context) &&
-        HasRunOut(context, worker)) {
-      if (IsOwnersWord(context, worker)) {
+    if (IsUnresponsive(worker) && IsSurelyRegistered(context) &&
+        LeasesHaveExpired(context, worker)) {
+      if (MayDeclareLost(context, worker)) {
         lost.push_back(id);
         continue;
       }
       WantMembers(context);
     }
-    if (!worker.hold_in_flight && context.now >= worker.hold_at) {
-      SendHold(context, id, worker);
+    if (!worker.poll_in_flight && context.now >= worker.next_poll_at) {
+      SendPoll(context, id, worker);
     }
     DriveRuns(context, id, worker);
   }
   for (const std::string& it : lost) {
-    WorkerIsGone(context, it, "silent past its leases");
+    DeclareWorkerLost(context, it, "silent past its leases");
   }
-  ForgetGone(context);
+  ForgetLost(context);
 }
 
-void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
+void OnPollReply(Context& context, const WorkerAnswered& event) {
   const auto it = context.state.owned.find(event.worker);
   const auto& poll = std::get<HoldWorker>(event.request);
   if (it == context.state.owned.end() || it->second.fence != poll.fence) {
     return;
   }
   OwnedWorker& worker = it->second;
-  if (worker.claimed && worker.proof_in_flight && IsProof(poll) &&
-      event.asked != worker.hold_sent) {
-    worker.proof_in_flight = false;
+  if (worker.claimed && worker.ownership_check_in_flight &&
+      IsOwnershipCheck(poll) && event.asked != worker.poll_sent_at) {
+    worker.ownership_check_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
-      return OnProof(context, event);
+      return OnOwnershipCheckReply(context, event);
     }
     return;
   }
-  worker.hold_in_flight = false;
+  worker.poll_in_flight = false;
   const bool unreached = std::holds_alternative<WorkerUnreached>(event.answer);
   if (poll.wait == Duration(0) && !unreached) {
-    NoteResponse(context, event);
+    RecordResponseTime(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    OnHeld(context, event.worker, worker, *done, event.asked);
+    OnPollDone(context, event.worker, worker, *done, event.asked);
     return;
   }
-  worker.hold_at = context.now + kHoldRetry;
+  worker.next_poll_at = context.now + kHoldRetry;
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   const bool fenced =
       refused != nullptr && refused->kind == WorkerRefusalKind::kFenced;
@@ -323,24 +327,24 @@
     // unresponsive, it could be declared lost while its tasks run, and these
     // would run twice.
     worker.missed_since = Time(0);
-    worker.silent_since = Time(0);
+    worker.unresponsive_since = Time(0);
   } else if (refused == nullptr && worker.claimed &&
              worker.missed_since == Time(0)) {
-    worker.missed_since = worker.hold_sent;
-    worker.hold_at = context.now;
+    worker.missed_since = worker.poll_sent_at;
+    worker.next_poll_at = context.now;
     context.state.worker_answers.lost_at = context.now;
     return;
-  } else if (!IsSilent(worker)) {
+  } else if (!IsUnresponsive(worker)) {
     if (worker.missed_since == Time(0)) {
-      worker.missed_since = worker.hold_sent;
+      worker.missed_since = worker.poll_sent_at;
     }
-    worker.silent_since = worker.missed_since;
+    worker.unresponsive_since = worker.missed_since;
     RoomChanged(context, event.worker);
     ReportUnreached(context, event.worker, worker);
   }
   if (refused == nullptr) {
     const auto& unreached = std::get<WorkerUnreached>(event.answer);
-    if (std::exchange(worker.silence_told, true)) {
+    if (std::exchange(worker.unresponsive_logged, true)) {
       return;
     }
     context.Log(EventNumber::kWorkerSilent,
@@ -348,34 +352,34 @@
     return;
   }
   if (refused->kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "replaced by another incarnation");
+    DeclareWorkerLost(context, event.worker, "replaced by another incarnation");
   } else if (refused->kind == WorkerRefusalKind::kFenced) {
     context.Log(
         EventNumber::kClaimRefused,
         {{"worker", event.worker}, {"fence", std::to_string(poll.fence)}});
     if (worker.claimed) {
-      LoseWorker(context, event.worker);
+      ReleaseWorker(context, event.worker);
     } else {
       WantRaise(context);
     }
   }
 }
 
-void DoubtWorkers(Context& context) {
+void MarkWorkersUnverified(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    worker.doubted = true;
+    worker.unverified = true;
   }
 }
 
-void ExtendDoubtedLeases(Context& context) {
+void ExtendUnverifiedLeases(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.doubted) {
-      SuspectLeases(context, worker);
+    if (worker.unverified) {
+      AssumeForeignLeases(context, worker);
     }
   }
 }
 
-void LoseWorker(Context& context, const std::string& id) {
+void ReleaseWorker(Context& context, const std::string& id) {
   const auto node = context.state.owned.extract(id);
   if (node.empty()) {
     return;
@@ -383,20 +387,22 @@
   context.Log(EventNumber::kOwnershipLost,
               {{"worker", id}, {"fence", std::to_string(node.mapped().fence)}});
   for (const auto& [task, run] : node.mapped().runs) {
-    const bool never_ran =
-        run.phase == RunPhase::kBooked ||
-        run.phase == RunPhase::kAwaitingRoom ||
-        (run.phase == RunPhase::kStarting && run.ordered == Time::min());
-    if (run.answer_offer && never_ran) {
+    const bool never_ran = run.phase == RunPhase::kBooked ||
+                           run.phase == RunPhase::kAwaitingRoom ||
+                           (run.phase == RunPhase::kStarting &&
+                            run.command_sent_at == Time::min());
+    if (run.offer_unanswered && never_ran) {
       AnswerOffer(context, run.owner, id, task, run.run,
                   OfferOutcome::kNotOwner);
     }
   }
   context.state.digest.changed.erase(id);
-  RememberLease(context, id, node.mapped().lease_bound);
+  RememberReleasedLease(context, id, node.mapped().lease_bound);
 }
 
-void WorkerIsGone(Context& context, const std::string& id, const char* cause) {
+void DeclareWorkerLost(Context& context,
+                       const std::string& id,
+                       const char* cause) {
   // Otherwise each ownership check would claim it again until its entry in the
   // store expires.
   context.state.workers.erase(id);
@@ -407,7 +413,7 @@
                  {"cause", cause},
                  {"runs", std::to_string(node.mapped().runs.size())}});
     ReportLostRuns(context, id, node.mapped());
-    TellGone(context, id, node.mapped().fence);
+    AnnounceLost(context, id, node.mapped().fence);
   }
   RoomView& view = context.state.view[id];
   view.gone = true;
@@ -444,10 +450,10 @@
       std::all_of(worker.runs.begin(), worker.runs.end(),
                   [](const auto& it) { return it.second.described; });
   return listed != nullptr && listed->listed && !listed->info.draining &&
-         worker.claimed && described && !IsSilent(worker) &&
+         worker.claimed && described && !IsUnresponsive(worker) &&
          worker.lease_until_ms != 0 && context.now >= worker.unhealthy_until &&
          context.now >= worker.quarantine_until &&
-         context.now >= worker.still_until &&
+         context.now >= worker.stalled_until &&
          context.now >= worker.leaving_until;
 }
 
@@ -468,8 +474,8 @@
   return worker.lease_until_ms;
 }
 
-bool IsSilent(const OwnedWorker& worker) {
-  return worker.silent_since != Time(0);
+bool IsUnresponsive(const OwnedWorker& worker) {
+  return worker.unresponsive_since != Time(0);
 }
 
 OwnedWorker* FindClaimed(State& state, const std::string& id) {
--- a/Source/engine/workers/worker_owner.h
+++ b/Source/engine/workers/worker_owner.h
@@ -12,26 +12,28 @@
 // Makes the next DriveWorkers claim the workers that this instance should own.
 // Workers that it should no longer own stay with it until their new owner has
 // claimed them.
-void ReviewOwnership(Context& context);
+void ScheduleOwnershipCheck(Context& context);
 
 // Claims workers, renews their leases and declares them lost, as due.
 void DriveWorkers(Context& context);
 
-void OnHoldAnswer(Context& context, const WorkerAnswered& event);
+void OnPollReply(Context& context, const WorkerAnswered& event);
 
 // Called when this instance's registration was lost.
-void DoubtWorkers(Context& context);
+void MarkWorkersUnverified(Context& context);
 
 // Called when this instance is registered again. Other owners may have renewed
 // the leases of workers that have not replied since the registration was lost.
-void ExtendDoubtedLeases(Context& context);
+void ExtendUnverifiedLeases(Context& context);
 
 // Gives the worker up because another owner has a higher fence. The new owner
 // takes over all runs there.
-void LoseWorker(Context& context, const std::string& id);
+void ReleaseWorker(Context& context, const std::string& id);
 
 // Declares the worker lost: all runs there have ended. `cause` is logged.
-void WorkerIsGone(Context& context, const std::string& id, const char* cause);
+void DeclareWorkerLost(Context& context,
+                       const std::string& id,
+                       const char* cause);
 
 // Publishes the worker's free room, and whether it accepts tasks, after either
 // has changed.
@@ -47,7 +49,7 @@
 std::int64_t NextLease(Context& context, OwnedWorker& worker);
 
 // Two polls in a row got no reply.
-bool IsSilent(const OwnedWorker& worker);
+bool IsUnresponsive(const OwnedWorker& worker);
 
 // Null when this instance has not claimed the worker.
 OwnedWorker* FindClaimed(State& state, const std::string& id);
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -19,38 +19,37 @@
 // the slowest stop and the longest wait for a listing.
 constexpr Duration kStopRepeat = milliseconds(2500);
 // Of a command's timeout, one for each attempt without a reply.
-constexpr std::uint32_t kMostDoublings = 4;
+constexpr std::uint32_t kMaxDoublings = 4;
 
 // Doubles with each attempt, so that replies that have become slow still
 // arrive in time.
-Duration OrderTimeout(const Context& context, std::uint32_t tries) {
+Duration CommandTimeout(const Context& context, std::uint32_t tries) {
   const Duration first = context.state.worker_answers.time.Timeout(
       kLeastOrderTimeout, kOrderTimeout);
-  return std::min(first * (1 << std::min(tries, kMostDoublings)),
-                  kOrderTimeout);
+  return std::min(first * (1 << std::min(tries, kMaxDoublings)), kOrderTimeout);
 }
 
-void NoteOrderAnswer(Context& context, const WorkerAnswered& event) {
+void RecordCommandReply(Context& context, const WorkerAnswered& event) {
   WorkerAnswers& answers = context.state.worker_answers;
   if (std::holds_alternative<WorkerUnreached>(event.answer)) {
     answers.lost_at = context.now;
   } else {
-    NoteResponse(context, event);
+    RecordResponseTime(context, event);
   }
 }
 
-void OrderStop(Context& context,
-               const std::string& id,
-               OwnedWorker& worker,
-               const std::string& task,
-               LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+void SendStop(Context& context,
+              const std::string& id,
+              OwnedWorker& worker,
+              const std::string& task,
+              LocalRun& run) {
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   context.Emit(CallWorker{
       .worker = id,
       .address = worker.info.address,
       .request = StopRun{.task = task, .run = run.run, .fence = worker.fence},
-      .timeout = OrderTimeout(context, run.order_tries++)});
+      .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
 OfferOutcome OutcomeOf(WorkerRefusalKind kind) {
@@ -86,7 +85,7 @@
     // An earlier attempt without a reply has started the run, and the run has
     // ended. A refusal would make the job's owner start a task again that may
     // be done; the next listing reports how it ended.
-    return Confirm(context, id, task, run);
+    return ConfirmRun(context, id, task, run);
   }
   context.Log(EventNumber::kStartRefused, {{"task", task},
                                            {"run", std::to_string(run.run)},
@@ -101,7 +100,7 @@
     // the worker refuses the start, and the job's owner gets its answer.
     return BeginRunStop(context, id, worker, task, run);
   }
-  AnswerIfAsked(context, id, task, run, OutcomeOf(kind));
+  AnswerPendingOffer(context, id, task, run, OutcomeOf(kind));
   RemoveRun(context, id, worker, task);
 }
 
@@ -111,7 +110,7 @@
                    LocalRun& run,
                    const StartRun& command) {
   if (std::holds_alternative<WorkerDone>(event.answer)) {
-    Confirm(context, event.worker, command.task, run);
+    ConfirmRun(context, event.worker, command.task, run);
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
@@ -136,13 +135,13 @@
 }
 
 // Whether the run's start was sent, so that the worker may have the run.
-bool IsOrdered(const LocalRun& run) {
+bool StartWasSent(const LocalRun& run) {
   return run.phase != RunPhase::kBooked && run.phase != RunPhase::kAwaitingRoom;
 }
 
-template <typename Order>
-const Order* OrderOf(const WorkerAnswered& event) {
-  return std::get_if<Order>(&event.request);
+template <typename Command>
+const Command* CommandOf(const WorkerAnswered& event) {
+  return std::get_if<Command>(&event.request);
 }
 
 bool MustMove(const Context& context, const OwnedWorker& worker) {
@@ -162,32 +161,32 @@
               OwnedWorker& worker,
               const std::string& task,
               LocalRun& run) {
-  if (run.order_in_flight ||
-      !HasPassed(context.now, run.ordered, kOrderRetry)) {
+  if (run.command_in_flight ||
+      !HasPassed(context.now, run.command_sent_at, kOrderRetry)) {
     return;
   }
   if (run.phase == RunPhase::kStarting) {
     if (HasPassed(context.now, run.since, kStartPatience)) {
       BeginRunStop(context, id, worker, task, run);
     } else {
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
     }
   } else if (run.phase == RunPhase::kStopping &&
              (!run.stop_answered ||
-              HasPassed(context.now, run.ordered, kStopRepeat))) {
-    OrderStop(context, id, worker, task, run);
+              HasPassed(context.now, run.command_sent_at, kStopRepeat))) {
+    SendStop(context, id, worker, task, run);
   }
 }
 
 }  // namespace
 
-void OrderStart(Context& context,
-                const std::string& id,
-                OwnedWorker& worker,
-                const std::string& task,
-                LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+void SendStart(Context& context,
+               const std::string& id,
+               OwnedWorker& worker,
+               const std::string& task,
+               LocalRun& run) {
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   ++context.state.totals.starts;
   context.Emit(
       CallWorker{.worker = id,
@@ -199,16 +198,16 @@
                                      .checkpoint = run.checkpoint,
                                      .fence = worker.fence,
                                      .lease_until_ms = worker.lease_until_ms},
-                 .timeout = OrderTimeout(context, run.order_tries++)});
+                 .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
-void NoteResponse(Context& context, const WorkerAnswered& event) {
+void RecordResponseTime(Context& context, const WorkerAnswered& event) {
   ResponseTime& time = context.state.worker_answers.time;
   time = time.With(context.now - event.asked);
 }
 
 void EnterPhase(Context& context, LocalRun& run, RunPhase phase) {
-  run.order_tries = 0;
+  run.command_attempts = 0;
   run.phase = phase;
   run.since = context.now;
 }
@@ -231,27 +230,27 @@
   }
   EnterPhase(context, run, RunPhase::kStopping);
   run.stop_answered = false;
-  OrderStop(context, id, worker, task, run);
+  SendStop(context, id, worker, task, run);
 }
 
-void AnswerIfAsked(Context& context,
-                   const std::string& id,
-                   const std::string& task,
-                   LocalRun& run,
-                   OfferOutcome outcome) {
-  if (std::exchange(run.answer_offer, false)) {
+void AnswerPendingOffer(Context& context,
+                        const std::string& id,
+                        const std::string& task,
+                        LocalRun& run,
+                        OfferOutcome outcome) {
+  if (std::exchange(run.offer_unanswered, false)) {
     AnswerOffer(context, run.owner, id, task, run.run, outcome);
   }
 }
 
-void Confirm(Context& context,
-             const std::string& id,
-             const std::string& task,
-             LocalRun& run) {
+void ConfirmRun(Context& context,
+                const std::string& id,
+                const std::string& task,
+                LocalRun& run) {
   run.confirmed = context.now;
   if (run.phase == RunPhase::kStarting) {
     EnterPhase(context, run, RunPhase::kRunning);
-    AnswerIfAsked(context, id, task, run, OfferOutcome::kStarted);
+    AnswerPendingOffer(context, id, task, run, OfferOutcome::kStarted);
   }
 }
 
@@ -269,17 +268,17 @@
       continue;
     }
     NoteOwner(known, from, it.generation);
-    known.heard = context.now;
+    known.last_update = context.now;
     const auto run = worker->runs.find(it.task);
     if (run == worker->runs.end() || run->second.run != it.run) {
       // The run's offer may arrive after this stop and must not start the run.
-      std::uint64_t& refused = known.refused[it.task];
+      std::uint64_t& refused = known.refused_runs[it.task];
       refused = std::max(refused, it.run);
       ReportRun(context, from,
                 {.task = it.task, .run = it.run, .worker = it.worker});
       continue;
     }
-    if (!IsOrdered(run->second)) {
+    if (!StartWasSent(run->second)) {
       AnswerOffer(context, from, it.worker, it.task, it.run,
                   OfferOutcome::kStopped);
       RemoveRun(context, it.worker, *worker, it.task);
@@ -289,19 +288,19 @@
   }
 }
 
-void OnOrderAnswer(Context& context, const WorkerAnswered& event) {
-  NoteOrderAnswer(context, event);
+void OnCommandReply(Context& context, const WorkerAnswered& event) {
+  RecordCommandReply(context, event);
   const auto worker = context.state.owned.find(event.worker);
   if (worker == context.state.owned.end()) {
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
-    return WorkerIsGone(context, event.worker,
+    return DeclareWorkerLost(context, event.worker,
                         "replaced by another incarnation");
   }
-  const auto* start = OrderOf<StartRun>(event);
-  const auto* stop = OrderOf<StopRun>(event);
+  const auto* start = CommandOf<StartRun>(event);
+  const auto* stop = CommandOf<StopRun>(event);
   const std::uint64_t fence = start != nullptr  ? start->fence
                               : stop != nullptr ? stop->fence
                                                 : 0;
@@ -309,7 +308,7 @@
     return;
   }
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kFenced) {
-    return LoseWorker(context, event.worker);
+    return ReleaseWorker(context, event.worker);
   }
   const std::string& task = start != nullptr ? start->task : stop->task;
   const std::uint64_t number = start != nullptr ? start->run : stop->run;
@@ -317,7 +316,7 @@
   if (run == worker->second.runs.end() || run->second.run != number) {
     return;
   }
-  run->second.order_in_flight = false;
+  run->second.command_in_flight = false;
   if (start != nullptr) {
     OnStartAnswer(context, event, worker->second, run->second, *start);
   } else {
@@ -348,9 +347,9 @@
   DriveAwaiting(context, id, worker);
 }
 
-void SendAnswers(Context& context,
-                 const std::string& to,
-                 OfferAnswers answers) {
+void SendOfferAnswers(Context& context,
+                      const std::string& to,
+                      OfferAnswers answers) {
   std::set<std::string> refused;
   for (const OfferAnswer& it : answers.answers) {
     const bool taken = it.outcome == OfferOutcome::kStarted ||
@@ -370,29 +369,29 @@
                  const std::string& task,
                  std::uint64_t run,
                  OfferOutcome outcome) {
-  SendAnswers(context, to,
-              OfferAnswers{.answers = {{.task = task,
-                                        .run = run,
-                                        .worker = worker,
-                                        .outcome = outcome}}});
+  SendOfferAnswers(context, to,
+                   OfferAnswers{.answers = {{.task = task,
+                                             .run = run,
+                                             .worker = worker,
+                                             .outcome = outcome}}});
 }
 
-void StopRunsOf(Context& context, const std::string& job) {
+void StopRunsOfJob(Context& context, const std::string& job) {
   for (auto& [id, worker] : context.state.owned) {
-    std::vector<std::string> not_ordered;
+    std::vector<std::string> not_started;
     for (auto& [task, run] : worker.runs) {
       const auto name = ParseTaskName(task);
       if (!worker.claimed || !name || name->job != job) {
         continue;
       }
-      if (IsOrdered(run)) {
+      if (StartWasSent(run)) {
         BeginRunStop(context, id, worker, task, run);
       } else {
-        AnswerIfAsked(context, id, task, run, OfferOutcome::kStopped);
-        not_ordered.push_back(task);
+        AnswerPendingOffer(context, id, task, run, OfferOutcome::kStopped);
+        not_started.push_back(task);
       }
     }
-    for (const std::string& it : not_ordered) {
+    for (const std::string& it : not_started) {
       RemoveRun(context, id, worker, it);
     }
   }
--- a/Source/engine/workers/worker_runs.h
+++ b/Source/engine/workers/worker_runs.h
@@ -14,21 +14,21 @@
                  const TaskStops& stops);
 
 // Handles replies to StartRun and StopRun.
-void OnOrderAnswer(Context& context, const WorkerAnswered& event);
+void OnCommandReply(Context& context, const WorkerAnswered& event);
 
 // Updates the estimate of the workers' response time. `event` must be the reply
 // to a call without a wait.
-void NoteResponse(Context& context, const WorkerAnswered& event);
+void RecordResponseTime(Context& context, const WorkerAnswered& event);
 
 // Repeats commands without a reply, withdraws starts that time out, and stops
 // the runs of a draining worker so that they are placed elsewhere.
 void DriveRuns(Context& context, const std::string& id, OwnedWorker& worker);
 
-void OrderStart(Context& context,
-                const std::string& id,
-                OwnedWorker& worker,
-                const std::string& task,
-                LocalRun& run);
+void SendStart(Context& context,
+               const std::string& id,
+               OwnedWorker& worker,
+               const std::string& task,
+               LocalRun& run);
 void BeginRunStop(Context& context,
                   const std::string& id,
                   OwnedWorker& worker,
@@ -41,13 +41,15 @@
                const std::string& task);
 
 // Called when the worker has shown that it has, or had, the run.
-void Confirm(Context& context,
-             const std::string& id,
-             const std::string& task,
-             LocalRun& run);
+void ConfirmRun(Context& context,
+                const std::string& id,
+                const std::string& task,
+                LocalRun& run);
 
 // Sends the outcomes of offers, with the free room of each worker that refused.
-void SendAnswers(Context& context, const std::string& to, OfferAnswers answers);
+void SendOfferAnswers(Context& context,
+                      const std::string& to,
+                      OfferAnswers answers);
 
 // Sends the outcome of one offer to the job's owner `to`.
 void AnswerOffer(Context& context,
@@ -57,16 +59,16 @@
                  std::uint64_t run,
                  OfferOutcome outcome);
 // Does so if the run's offer has no answer yet.
-void AnswerIfAsked(Context& context,
-                   const std::string& id,
-                   const std::string& task,
-                   LocalRun& run,
-                   OfferOutcome outcome);
+void AnswerPendingOffer(Context& context,
+                        const std::string& id,
+                        const std::string& task,
+                        LocalRun& run,
+                        OfferOutcome outcome);
 
 // Stops the remaining runs of a job that has ended. When all instances lose
 // power right after a cancel was acknowledged, no job owner is left to stop
 // them, and their leases would be renewed indefinitely.
-void StopRunsOf(Context& context, const std::string& job);
+void StopRunsOfJob(Context& context, const std::string& job);
 
 }  // namespace burdockrock::engine
 
--- a/Tests/engine/fake_worker.h
+++ b/Tests/engine/fake_worker.h
@@ -47,7 +47,7 @@
   void Advance(Time now);
 
   // Runs make no progress until `until`, including those started meanwhile.
-  void StandStill(Time now, Time until);
+  void Stall(Time now, Time until);
 
   // Replaces the process by another one without any state, with the id
   // `new_id`.
@@ -59,7 +59,7 @@
   std::function<RunPlan(const std::string& task, std::uint64_t run)> plan =
       [](const std::string&, std::uint64_t) { return RunPlan(); };
   // Used in place of `plan` where it is set.
-  std::function<RunPlan(const StartRun& order)> plan_order{};
+  std::function<RunPlan(const StartRun& order)> plan_start{};
 
   // The service figure that the worker lists for a run.
   std::function<std::int64_t(const std::string& task)> figure =
@@ -103,7 +103,7 @@
   std::uint64_t refused_fences_ = 0;
   std::uint64_t last_end_ = 0;
   Time lease_ends_{0};
-  Time still_until_{0};
+  Time stalled_until_{0};
   std::map<std::string, Run> runs_;
   std::map<std::string, std::uint64_t> last_run_;
   struct ListedEnd {
