--- a/Source/engine/workers/lost_workers.cc
+++ b/Source/engine/workers/lost_workers.cc
@@ -53,8 +53,8 @@
 }
 
 void DeclareLostWorkers(Context& context,
-               const MachineList& machines,
-               Time requested_at) {
+                        const MachineList& machines,
+                        Time requested_at) {
   std::set<std::string> alive;
   for (const auto& [name, machine] : machines) {
     if (machine.state == MachineState::kUp) {
@@ -67,7 +67,8 @@
   }
   std::vector<std::string> ended;
   for (const auto& [id, worker] : context.state.owned) {
-    if (IsUnresponsive(worker) && ListingCountsFrom(context, worker) <= requested_at &&
+    if (IsUnresponsive(worker) &&
+        ListingCountsFrom(context, worker) <= requested_at &&
         !alive.contains(id)) {
       ended.push_back(id);
     }
--- a/Source/engine/workers/lost_workers.h
+++ b/Source/engine/workers/lost_workers.h
@@ -14,8 +14,8 @@
 // Declares owned workers lost that are unresponsive and on no running machine.
 // `machines` is a complete listing that was requested at `requested_at`.
 void DeclareLostWorkers(Context& context,
-               const MachineList& machines,
-               Time requested_at);
+                        const MachineList& machines,
+                        Time requested_at);
 
 }  // namespace burdockrock::engine
 
--- a/Source/engine/workers/owned_worker.h
+++ b/Source/engine/workers/owned_worker.h
@@ -49,15 +49,15 @@
   bool offer_unanswered = false;  // the job's owner awaits the outcome
   RunProgress progress{};
   Time stall_reported = Time::min();  // last report that it is stalled
-  std::int64_t figure = 0;        // service figure that the worker lists
-  std::uint32_t pace = 100;       // percent of full speed
-  Time pace_changed_at = kForever;     // last change of `pace`
+  std::int64_t figure = 0;            // service figure that the worker lists
+  std::uint32_t pace = 100;           // percent of full speed
+  Time pace_changed_at = kForever;    // last change of `pace`
 };
 
 // An end that the worker lists, until the job's owner has stored it.
 struct LocalEnd {
   EndedRow row{};
-  Time reported_at = Time::min();     // last report to the job's owner
+  Time reported_at = Time::min();  // last report to the job's owner
   std::uint32_t report_count = 0;  // reports sent
   bool stored = false;
 };
@@ -87,15 +87,14 @@
   Time poll_sent_at{0};
   Time next_poll_at{0};
   Time last_reply_at = Time::min();  // last reply to a poll
-  Time owned_as_of =
-      Time::min();  // latest time of certain ownership
+  Time owned_as_of = Time::min();    // latest time of certain ownership
   bool ownership_check_due = false;
   bool ownership_check_in_flight = false;
   std::vector<PendingRunQuery> pending_run_queries{};
   // This instance's registration was lost after the worker's last reply, so
   // others may have claimed the worker and renewed its leases.
   bool unverified = false;
-  Time missed_since{0};  // first poll without a reply; 0: none
+  Time missed_since{0};        // first poll without a reply; 0: none
   Time unresponsive_since{0};  // the same, once a second poll has failed
   bool unresponsive_logged = false;
   // Expiry of all leases that this instance renewed there.
@@ -103,7 +102,8 @@
   // Latest expiry of leases that another owner may have renewed there,
   // regardless of what the others report.
   Time foreign_bound{0};
-  std::uint64_t lease_query_number = 0;  // reports with other numbers are ignored
+  std::uint64_t lease_query_number =
+      0;  // reports with other numbers are ignored
   std::map<std::string, ReportedLeases> reported_leases{};  // by incarnation
   std::int64_t clock_offset_ms = 0;  // worker's clock minus ours
   std::int64_t lease_until_ms = 0;   // requested last; on the worker's clock
@@ -115,7 +115,7 @@
   SpeedEstimate speed{};
   Time unhealthy_until = Time::min();
   std::uint32_t consecutive_failures = 0;  // in a row, of different jobs
-  std::string failed_job{};           // the last one counted
+  std::string failed_job{};                // the last one counted
   Time quarantine_until = Time::min();
   Time stalled_until = Time::min();  // a run there was stalled
   Time leaving_until = Time::min();  // its machine is about to go down
@@ -135,7 +135,7 @@
   Time adopted{0};  // the current owner's first query for the job's runs
   // Highest run of each task that was reported to the owner as not here.
   std::map<std::string, std::uint64_t> refused_runs{};
-  Time last_update{0};                // last message about the job
+  Time last_update{0};  // last message about the job
   Time last_checked =
       Time::min();  // last read of the record for an unowned run
 };
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -114,8 +114,7 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored ||
-          !HasPassed(context.now, end.reported_at, kEndRepeat)) {
+      if (end.stored || !HasPassed(context.now, end.reported_at, kEndRepeat)) {
         continue;
       }
       end.reported_at = context.now;
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -25,7 +25,7 @@
 
 struct RunCheck {
   std::set<std::string> ended{};                // jobs
-  std::set<std::string> unverified{};               // jobs
+  std::set<std::string> unverified{};           // jobs
   std::map<std::string, RunReports> reports{};  // by the jobs' owners
 };
 
--- a/Source/engine/workers/upkeep_rule.cc
+++ b/Source/engine/workers/upkeep_rule.cc
@@ -19,8 +19,8 @@
 
 // The machine is listed as up: again, or because it has not gone down yet.
 void ApplyUp(MachineProgress& machine,
-            const Machine& listed,
-            Time requested_at) {
+             const Machine& listed,
+             Time requested_at) {
   if (machine.phase != MachinePhase::kCommanded) {
     return;
   }
@@ -30,7 +30,8 @@
       machine.accepted && requested_at >= machine.since + kMinListingAge;
   if (renewed || settled) {
     Enter(machine, MachinePhase::kDone, requested_at);
-  } else if (!machine.accepted && requested_at >= machine.since + kMaxCommandDelay) {
+  } else if (!machine.accepted &&
+             requested_at >= machine.since + kMaxCommandDelay) {
     Enter(machine, MachinePhase::kWaiting, requested_at);
   }
 }
@@ -46,8 +47,8 @@
 }
 
 void ApplyMachineListing(WaveProgress& progress,
-                 const MachineList& list,
-                 Time requested_at) {
+                         const MachineList& list,
+                         Time requested_at) {
   for (auto& [name, machine] : progress.machines) {
     const auto listed = list.find(name);
     if (listed == list.end()) {
--- a/Source/engine/workers/upkeep_rule.h
+++ b/Source/engine/workers/upkeep_rule.h
@@ -45,8 +45,8 @@
 // Updates the wave's machines from a listing that was requested at
 // `requested_at`.
 void ApplyMachineListing(WaveProgress& progress,
-                 const MachineList& list,
-                 Time requested_at);
+                         const MachineList& list,
+                         Time requested_at);
 
 // Machines that may be prepared now. At most the wave's cap of them are being
 // prepared, going down or down at once.
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -297,7 +297,7 @@
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
     return DeclareWorkerLost(context, event.worker,
-                        "replaced by another incarnation");
+                             "replaced by another incarnation");
   }
   const auto* start = CommandOf<StartRun>(event);
   const auto* stop = CommandOf<StopRun>(event);
