--- a/Source/engine/workers/owned_worker.h
+++ b/Source/engine/workers/owned_worker.h
@@ -79,6 +79,7 @@
   Time others_end{0};  // expiry of the leases of former or unknown members
 };
 
+// A worker that this instance owns or is claiming.
 struct OwnedWorker {
   WorkerInfo info{};
   std::uint64_t fence = 0;  // 0: not claimed yet
@@ -86,7 +87,7 @@
   bool poll_in_flight = false;
   Time poll_sent_at{0};
   Time next_poll_at{0};
-  Time last_reply_at = Time::min();  // last reply to a poll
+  Time last_reply_at = Time::min();  // to a poll
   Time owned_as_of = Time::min();    // latest time of certain ownership
   bool ownership_check_due = false;
   bool ownership_check_in_flight = false;
@@ -102,8 +103,8 @@
   // Latest expiry of leases that another owner may have renewed there,
   // regardless of what the others report.
   Time foreign_bound{0};
-  std::uint64_t lease_query_number =
-      0;  // reports with other numbers are ignored
+  // Lease reports with other numbers are ignored.
+  std::uint64_t lease_query_number = 0;
   std::map<std::string, ReportedLeases> reported_leases{};  // by incarnation
   std::int64_t clock_offset_ms = 0;  // worker's clock minus ours
   std::int64_t lease_until_ms = 0;   // requested last; on the worker's clock
@@ -114,7 +115,7 @@
   std::uint64_t version = 0;                 // of the free room, for digests
   SpeedEstimate speed{};
   Time unhealthy_until = Time::min();
-  std::uint32_t consecutive_failures = 0;  // in a row, of different jobs
+  std::uint32_t consecutive_failures = 0;  // of different jobs
   std::string failed_job{};                // the last one counted
   Time quarantine_until = Time::min();
   Time stalled_until = Time::min();  // a run there was stalled
@@ -136,8 +137,8 @@
   // Highest run of each task that was reported to the owner as not here.
   std::map<std::string, std::uint64_t> refused_runs{};
   Time last_update{0};  // last message about the job
-  Time last_checked =
-      Time::min();  // last read of the record for an unowned run
+  // The record was last read because a run was not queried or had no owner.
+  Time last_checked = Time::min();
 };
 
 }  // namespace burdockrock::engine
--- a/Source/engine/workers/worker_owner.h
+++ b/Source/engine/workers/worker_owner.h
@@ -19,7 +19,8 @@
 
 void OnPollReply(Context& context, const WorkerAnswered& event);
 
-// Called when this instance's registration was lost.
+// Called when this instance's registration was lost: other members may claim
+// the workers from then on.
 void MarkWorkersUnverified(Context& context);
 
 // Called when this instance is registered again. Other owners may have renewed
