--- a/Source/engine/condition_log.cc
+++ b/Source/engine/condition_log.cc
@@ -107,19 +107,21 @@
   LogRepeatLimiter& limiter = context.state.condition_log.claims;
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
-    const bool waits = IsSilent(worker) && leases_end > context.now;
-    if (!waits || !limiter.IsDue(id, context.now, worker.silent_since)) {
+    const bool waits = IsUnresponsive(worker) && leases_end > context.now;
+    if (!waits ||
+        !limiter.IsDue(id, context.now, worker.unresponsive_since)) {
       continue;
     }
     const auto view = context.state.view.find(id);
     const bool known = view != context.state.view.end() &&
                        !view->second.owner.empty() &&
                        view->second.owner != context.self();
-    context.Log(EventNumber::kClaimWaits,
-                {{"worker", id},
-                 {"owner", known ? view->second.owner : "unknown"},
-                 {"for_ms", Milliseconds(context.now - worker.silent_since)},
-                 {"left_ms", Milliseconds(leases_end - context.now)}});
+    context.Log(
+        EventNumber::kClaimWaits,
+        {{"worker", id},
+         {"owner", known ? view->second.owner : "unknown"},
+         {"for_ms", Milliseconds(context.now - worker.unresponsive_since)},
+         {"left_ms", Milliseconds(leases_end - context.now)}});
   }
   limiter.EndRound();
 }
@@ -144,7 +146,7 @@
                  {"task", oldest.second},
                  {"run", std::to_string(worker.runs.at(oldest.second).run)},
                  {"for_ms", Milliseconds(context.now - oldest.first)},
-                 {"silent", IsSilent(worker) ? "yes" : "no"}});
+                 {"silent", IsUnresponsive(worker) ? "yes" : "no"}});
   }
   limiter.EndRound();
 }
--- a/Source/engine/jobs/preemption.cc
+++ b/Source/engine/jobs/preemption.cc
@@ -109,13 +109,14 @@
     }
     if (Fits(RoomOf(run.spec), CurrentRoom(worker))) {
       EnterPhase(context, run, RunPhase::kStarting);
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
     } else if (HasPassed(context.now, run.since, kStartTimeout)) {
       late.push_back(task);
     }
   }
   for (const std::string& it : late) {
-    AnswerIfAsked(context, id, it, worker.runs.at(it), OfferOutcome::kNoRoom);
+    AnswerPendingOffer(context, id, it, worker.runs.at(it),
+                       OfferOutcome::kNoRoom);
     RemoveRun(context, id, worker, it);
   }
 }
--- a/Source/engine/jobs/run_queries.cc
+++ b/Source/engine/jobs/run_queries.cc
@@ -25,7 +25,8 @@
                   const std::string& to,
                   const RunQuery& query) {
   if (const auto name = ParseTaskName(query.task)) {
-    std::uint64_t& refused = context.state.known[name->job].refused[query.task];
+    std::uint64_t& refused =
+        context.state.known[name->job].refused_runs[query.task];
     refused = std::max(refused, query.run);
   }
   Send(context, to,
@@ -58,8 +59,8 @@
     return;
   }
   KnownJob& known = context.state.known[name->job];
-  if (HasPassed(context.now, known.reviewed, kOwnerCheckInterval)) {
-    known.reviewed = context.now;
+  if (HasPassed(context.now, known.last_checked, kOwnerCheckInterval)) {
+    known.last_checked = context.now;
     RequestRecord(context, name->job);
   }
 }
@@ -74,7 +75,7 @@
                                Time queried_at) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
-  return IsSilent(worker) && !worker.doubted &&
+  return IsUnresponsive(worker) && !worker.unverified &&
          members.known_to >= queried_at &&
          IsRegistrationCurrent(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
@@ -98,7 +99,7 @@
   const auto it = worker->runs.find(query.task);
   if (it != worker->runs.end() && it->second.run == query.run) {
     it->second.owner = to;
-    it->second.asked_for = context.now;
+    it->second.last_queried = context.now;
     const bool is_running = it->second.phase == RunPhase::kRunning;
     return Send(context, to,
                 RunReports{.runs = {{.task = query.task,
@@ -108,33 +109,36 @@
                                                          : RunState::kPending,
                                      .checkpoint = it->second.checkpoint}}});
   }
-  if (RepeatEndsOf(*worker, query.task)) {
+  if (RepeatEndReports(*worker, query.task)) {
     return;  // the run's end serves as the reply
   }
-  worker->proof_wanted = true;
-  worker->questions.push_back(
-      {.from = to, .task = query.task, .run = query.run, .came = context.now});
+  worker->ownership_check_due = true;
+  worker->pending_run_queries.push_back({.from = to,
+                                         .task = query.task,
+                                         .run = query.run,
+                                         .received_at = context.now});
 }
 
 void AnswerRunQueries(Context& context,
                       const std::string& id,
                       OwnedWorker& worker) {
-  std::vector<OpenQuestion> open;
-  for (const OpenQuestion& it : std::exchange(worker.questions, {})) {
-    if (it.came > worker.proven) {
+  std::vector<PendingRunQuery> open;
+  for (const PendingRunQuery& it :
+       std::exchange(worker.pending_run_queries, {})) {
+    if (it.received_at > worker.owned_as_of) {
       open.push_back(it);
       continue;
     }
     const auto run = worker.runs.find(it.task);
     const bool is_present =
         run != worker.runs.end() && run->second.run == it.run;
-    if (!is_present && !RepeatEndsOf(worker, it.task)) {
+    if (!is_present && !RepeatEndReports(worker, it.task)) {
       ReportAbsent(context, it.from,
                    {.task = it.task, .run = it.run, .worker = id});
     }
   }
-  worker.proof_wanted = worker.proof_wanted || !open.empty();
-  worker.questions = std::move(open);
+  worker.ownership_check_due = worker.ownership_check_due || !open.empty();
+  worker.pending_run_queries = std::move(open);
 }
 
 void OnRunQueries(Context& context,
@@ -162,7 +166,7 @@
     if (known.adopted == Time(0)) {
       known.adopted = context.now;
     }
-    known.heard = context.now;
+    known.last_update = context.now;
     queried_at = std::max(queried_at, known.adopted);
     jobs.insert(it.job);
     report.jobs.push_back(it.job);
@@ -172,11 +176,11 @@
       continue;
     }
     // Only workers whose ownership was proven after the query first arrived.
-    if (worker.proven >= queried_at ||
+    if (worker.owned_as_of >= queried_at ||
         IsOwnedThoughUnresponsive(context, worker, queried_at)) {
       report.covered.push_back({.worker = id, .fence = worker.fence});
     } else {
-      worker.proof_wanted = true;
+      worker.ownership_check_due = true;
     }
     for (auto& [task, run] : worker.runs) {
       const auto name = ParseTaskName(task);
@@ -184,7 +188,7 @@
         continue;
       }
       run.owner = from;
-      run.asked_for = context.now;
+      run.last_queried = context.now;
       report.runs.push_back({.task = task,
                              .run = run.run,
                              .worker = id,
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -152,14 +152,14 @@
     members.registered_at = context.now;
     members.last_contact = context.now;
     EndEarlierProcesses(context, context.state.options.self.node);
-    ExtendDoubtedLeases(context);
+    ExtendUnverifiedLeases(context);
     context.Log(EventNumber::kRegistered, {{"fence", std::to_string(fence)}});
   }
   members.fence = std::max(members.fence, fence);
   members.present[context.self()] =
       Member{.record = context.state.options.self, .fence = members.fence};
   RebuildChoosableMembers(members);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void DriveRegistration(Context& context) {
@@ -199,7 +199,7 @@
   }
   if (!lost.empty()) {
     RebuildChoosableMembers(context.state.members);
-    ReviewOwnership(context);
+    ScheduleOwnershipCheck(context);
   }
 }
 
@@ -247,7 +247,7 @@
               {{"peer", incarnation}, {"domain", member.record.domain}});
   context.state.digest.full_digest_requests.insert(incarnation);
   EndEarlierProcesses(context, member.record.node);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void OnMemberRemoved(Context& context, const std::string& key) {
@@ -388,7 +388,7 @@
   members.present.erase(context.self());
   RebuildChoosableMembers(members);
   MarkOwnershipUnverified(context);
-  DoubtWorkers(context);
+  MarkWorkersUnverified(context);
 }
 
 void RequestFenceAdvance(Context& context) {
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -100,7 +100,7 @@
     OnNodePage(context, it.remove, answer);
   }
   void operator()(const ForWaveStatus& it) {
-    OnWaveTold(context, it.wave, it.completed, answer);
+    OnWaveStatusStored(context, it.wave, it.completed, answer);
   }
   void operator()(const ForNothing&) {}
 };
@@ -121,9 +121,9 @@
   }
   void operator()(const WorkerAnswered& it) {
     if (std::holds_alternative<PollWorker>(it.request)) {
-      OnHoldAnswer(context, it);
+      OnPollReply(context, it);
     } else if (!std::holds_alternative<PaceRun>(it.request)) {
-      OnOrderAnswer(context, it);
+      OnCommandReply(context, it);
     }
   }
   void operator()(const AdviceAnswered& it) { OnAdviceAnswered(context, it); }
@@ -188,7 +188,7 @@
   if (check_timeouts) {
     DriveJobs(context);
     DriveCallers(context);
-    ReviewRuns(context);
+    CheckRuns(context);
   }
   DriveAdoption(context);
   DriveCatalog(context);
--- a/Source/engine/state.h
+++ b/Source/engine/state.h
@@ -491,7 +491,7 @@
   WorkerResponses worker_responses{};
   Time ownership_checked_at = Time::min();
   Time runs_checked_at = Time::min();
-  std::map<std::string, GoneWorker> lost_workers{};
+  std::map<std::string, LostWorker> lost_workers{};
   // By worker that this instance no longer owns: when the last lease that it
   // renewed there expires.
   std::map<std::string, Time> released{};
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Questions without an answer are repeated: a few times within a lease, which
-// has to pass anyway.
-constexpr Duration kAskAgain = milliseconds(400);
+// Between two queries without a reply. Allows a few within a lease, which has
+// to expire in any case.
+constexpr Duration kQueryRepeat = milliseconds(400);
 
-// A process goes on renewing for so long without the store.
+// From a process's last contact with the store to the end of its last leases.
 Duration LongestSpan(const Context& context) {
   return kMaxRenewalWithoutStore + LeaseSpan(context);
 }
 
-// The store's list has lacked the member since it left.
-Time EndOfDeparted(const Context& context, const DepartedMember& member) {
+// For a member that has left the store's list of members.
+Time DepartedLeasesEnd(const Context& context, const DepartedMember& member) {
   const Time without_store = member.unlisted_at + LongestSpan(context);
   if (member.stopped_renewing_at == kForever) {
     return without_store;
@@ -32,8 +32,8 @@
                   member.stopped_renewing_at + LeaseSpan(context));
 }
 
-// Of members that left before this instance read the list first.
-Time EndOfUnknown(const Context& context) {
+// For members that left before this instance first read the list.
+Time UnknownLeasesEnd(const Context& context) {
   const MembersState& members = context.state.members;
   if (members.known_since == kForever) {
     return kForever;
@@ -52,28 +52,29 @@
   return end;
 }
 
-Time EndOfOthers(const Context& context) {
-  Time end = EndOfUnknown(context);
+Time OthersLeasesEnd(const Context& context) {
+  Time end = UnknownLeasesEnd(context);
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    end = std::max(end, EndOfDeparted(context, it));
+    end = std::max(end, DepartedLeasesEnd(context, it));
   }
   return end;
 }
 
-Duration Left(const Context& context, Time end) {
+Duration TimeLeft(const Context& context, Time end) {
   if (end == kForever) {
     return LongestSpan(context);
   }
   return std::max(end - context.now, Duration(0));
 }
 
-bool NeedsWord(const Context& context, const OwnedWorker& worker) {
-  return IsSilent(worker) && context.now < worker.foreign_bound;
+bool NeedsLeaseReports(const Context& context, const OwnedWorker& worker) {
+  return IsUnresponsive(worker) && context.now < worker.foreign_bound;
 }
 
-// This instance is the worker's owner by all that it knows, or reaches it.
+// This instance reaches the worker, or is its rightful owner by the current
+// list of members.
 bool KeepsWorker(const Context& context, const OwnedWorker& worker) {
-  if (worker.claimed && !IsSilent(worker)) {
+  if (worker.claimed && !IsUnresponsive(worker)) {
     return true;
   }
   return IsRegistrationCurrent(context) &&
@@ -81,23 +82,24 @@
              context.self();
 }
 
-// Whoever may have renewed leases and has not said until when.
-std::vector<std::string> Unheard(const Context& context,
-                                 const OwnedWorker& worker) {
-  std::vector<std::string> unheard;
+// Incarnations that may have renewed leases and have not reported their expiry.
+std::vector<std::string> MissingReports(const Context& context,
+                                        const OwnedWorker& worker) {
+  std::vector<std::string> missing;
   for (const auto& [incarnation, it] : context.state.members.present) {
-    if (incarnation != context.self() && !worker.told.contains(incarnation)) {
-      unheard.push_back(incarnation);
+    if (incarnation != context.self() &&
+        !worker.reported_leases.contains(incarnation)) {
+      missing.push_back(incarnation);
     }
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
     const bool may_renew = it.stopped_renewing_at == kForever &&
-                           context.now < EndOfDeparted(context, it);
-    if (may_renew && !worker.told.contains(incarnation)) {
-      unheard.push_back(incarnation);
+                           context.now < DepartedLeasesEnd(context, it);
+    if (may_renew && !worker.reported_leases.contains(incarnation)) {
+      missing.push_back(incarnation);
     }
   }
-  return unheard;
+  return missing;
 }
 
 }  // namespace
@@ -108,10 +110,10 @@
          kLeaseMargin;
 }
 
-void SuspectLeases(Context& context, OwnedWorker& worker) {
+void AssumeForeignLeases(Context& context, OwnedWorker& worker) {
   worker.foreign_bound = context.now + LongestSpan(context);
-  worker.lease_question = ++context.state.last_lease_query;
-  worker.told.clear();
+  worker.lease_query_number = ++context.state.last_lease_query;
+  worker.reported_leases.clear();
 }
 
 Time ForeignLeasesEnd(const Context& context, const OwnedWorker& worker) {
@@ -120,27 +122,29 @@
     if (incarnation == context.self()) {
       continue;
     }
-    const auto told = worker.told.find(incarnation);
-    if (told == worker.told.end()) {
+    const auto report = worker.reported_leases.find(incarnation);
+    if (report == worker.reported_leases.end()) {
       return worker.foreign_bound;
     }
-    end = std::max(end, told->second.own_end);
+    end = std::max(end, report->second.own_end);
   }
   for (const auto& [incarnation, it] : context.state.members.departed) {
-    const auto told = worker.told.find(incarnation);
-    const Time bound = EndOfDeparted(context, it);
-    end = std::max(end, told == worker.told.end()
+    const auto report = worker.reported_leases.find(incarnation);
+    const Time bound = DepartedLeasesEnd(context, it);
+    end = std::max(end, report == worker.reported_leases.end()
                             ? bound
-                            : std::min(bound, told->second.own_end));
+                            : std::min(bound, report->second.own_end));
   }
-  Time unknown = EndOfUnknown(context);
-  for (const auto& [incarnation, it] : worker.told) {
+  Time unknown = UnknownLeasesEnd(context);
+  for (const auto& [incarnation, it] : worker.reported_leases) {
     unknown = std::min(unknown, it.others_end);
   }
   return std::min(std::max(end, unknown), worker.foreign_bound);
 }
 
-void RememberLease(Context& context, const std::string& worker, Time end) {
+void RememberReleasedLease(Context& context,
+                           const std::string& worker,
+                           Time end) {
   if (end > context.now) {
     context.state.released[worker] = end;
   }
@@ -152,7 +156,7 @@
 }
 
 void DriveLeaseQueries(Context& context) {
-  if (!HasPassed(context.now, context.state.leases_queried_at, kAskAgain) ||
+  if (!HasPassed(context.now, context.state.leases_queried_at, kQueryRepeat) ||
       !IsRegistrationCurrent(context)) {
     return;
   }
@@ -161,16 +165,16 @@
                 [&](const auto& it) { return it.second <= context.now; });
   std::map<std::string, LeaseQuery> queries;
   for (const auto& [id, worker] : context.state.owned) {
-    if (!NeedsWord(context, worker)) {
+    if (!NeedsLeaseReports(context, worker)) {
       continue;
     }
-    for (const std::string& it : Unheard(context, worker)) {
+    for (const std::string& it : MissingReports(context, worker)) {
       queries[it].workers.push_back(
-          {.worker = id, .number = worker.lease_question});
+          {.worker = id, .number = worker.lease_query_number});
     }
   }
   for (auto& [incarnation, query] : queries) {
-    // Also to members that the store turned away and that may go on renewing.
+    // Sent directly, since members that the store has removed may still renew.
     context.Emit(SendPeer{.to = incarnation,
                           .address = AddressOf(context.state, incarnation),
                           .message = std::move(query)});
@@ -180,21 +184,22 @@
 void OnLeaseQuery(Context& context,
                   const std::string& from,
                   const LeaseQuery& query) {
-  LeaseReport report{.others_left = Left(context, EndOfOthers(context))};
+  LeaseReport report{.others_left =
+                         TimeLeft(context, OthersLeasesEnd(context))};
   for (const LeaseQueryItem& it : query.workers) {
     const auto owned = context.state.owned.find(it.worker);
     if (owned != context.state.owned.end()) {
       if (KeepsWorker(context, owned->second)) {
         continue;
       }
-      // After this answer no lease may be renewed any more: the asker counts
-      // what runs there as ended when it is over.
-      LoseWorker(context, it.worker);
+      // No lease may be renewed after this reply: the querying member treats
+      // the runs there as ended once the reported leases have expired.
+      ReleaseWorker(context, it.worker);
     }
     report.ends.push_back(
         {.worker = it.worker,
          .number = it.number,
-         .left = Left(context, ReleasedLeaseEnd(context, it.worker))});
+         .left = TimeLeft(context, ReleasedLeaseEnd(context, it.worker))});
   }
   if (!report.ends.empty()) {
     Send(context, from, std::move(report));
@@ -207,10 +212,10 @@
   for (const LeaseEnd& it : report.ends) {
     const auto owned = context.state.owned.find(it.worker);
     if (owned != context.state.owned.end() &&
-        owned->second.lease_question == it.number) {
-      owned->second.told[from] =
-          ToldLeases{.own_end = context.now + it.left,
-                     .others_end = context.now + report.others_left};
+        owned->second.lease_query_number == it.number) {
+      owned->second.reported_leases[from] =
+          ReportedLeases{.own_end = context.now + it.left,
+                         .others_end = context.now + report.others_left};
     }
   }
 }
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -11,44 +11,44 @@
 
 namespace {
 
-// Workers that fail all that they start take work as fast as they fail it. A
-// row of failures of different jobs, with no success between, tells them from
-// one bad job.
-void NoteOutcome(Context& context,
-                 const std::string& id,
-                 OwnedWorker& worker,
-                 const EndedRow& row,
-                 const std::string& job) {
+// Quarantines a worker that fails everything, as it would accept tasks as fast
+// as it fails them. Consecutive failures of different jobs, without a success
+// between them, tell such a worker from a single bad job.
+void RecordOutcome(Context& context,
+                   const std::string& id,
+                   OwnedWorker& worker,
+                   const EndedRow& row,
+                   const std::string& job) {
   if (row.how == RunEnd::kDone) {
-    worker.recent_failures = 0;
+    worker.consecutive_failures = 0;
     return;
   }
   if (row.how != RunEnd::kFailed || worker.failed_job == job) {
     return;
   }
   worker.failed_job = job;
-  if (++worker.recent_failures < kMaxFailuresInRow) {
+  if (++worker.consecutive_failures < kMaxFailuresInRow) {
     return;
   }
-  // One more failure after the quarantine brings the next one.
-  worker.recent_failures = kMaxFailuresInRow - 1;
+  // A single failure after the quarantine starts the next one.
+  worker.consecutive_failures = kMaxFailuresInRow - 1;
   worker.quarantine_until = context.now + kQuarantine;
   context.Log(
       EventNumber::kWorkerQuarantined,
       {{"worker", id}, {"failures", std::to_string(kMaxFailuresInRow)}});
 }
 
-// The job may have another owner by now: after so many reports of an end
-// without an answer the store is asked for it.
-constexpr std::uint32_t kTellingsPerRead = 3;
+// Reports of an end without a confirmation after which the job's record is read
+// again, since the job may have another owner.
+constexpr std::uint32_t kReportsPerRead = 3;
 
 std::string JobOf(const std::string& task) {
   const auto name = ParseTaskName(task);
   return name ? name->job : std::string();
 }
 
-// Ends that are stored, or of jobs that nobody owns any more, are forgotten by
-// the worker with the next hold; only the first ones on.
+// Lets the worker drop the leading ends that are stored, or whose jobs have
+// ended, with the next poll.
 void Acknowledge(OwnedWorker& worker) {
   while (!worker.ends.empty() && worker.ends.begin()->second.stored) {
     worker.acknowledged = worker.ends.begin()->first;
@@ -71,13 +71,13 @@
               const std::string& id,
               OwnedWorker& worker,
               const EndedRow& row) {
-  if (row.sequence <= worker.seen) {
+  if (row.sequence <= worker.highest_end) {
     return false;
   }
-  worker.seen = row.sequence;
+  worker.highest_end = row.sequence;
   const std::string job = JobOf(row.task);
   worker.ends[row.sequence] = LocalEnd{.row = row};
-  NoteOutcome(context, id, worker, row, job);
+  RecordOutcome(context, id, worker, row, job);
   const auto run = worker.runs.find(row.task);
   std::optional<Duration> took;
   Duration estimate{0};
@@ -89,10 +89,10 @@
       worker.speed.Add(context.now - run->second.since,
                        run->second.spec.estimate);
     }
-    if (run->second.answer_offer) {
-      // It started and ended before the order was answered: the end itself
-      // tells the job's owner.
-      run->second.answer_offer = false;
+    if (run->second.offer_unanswered) {
+      // The run ended before the reply to its start arrived. The report of the
+      // end also answers the offer.
+      run->second.offer_unanswered = false;
     }
     worker.runs.erase(run);
   }
@@ -114,11 +114,11 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored || !HasPassed(context.now, end.told, kEndReportInterval)) {
+      if (end.stored || !HasPassed(context.now, end.reported_at, kEndReportInterval)) {
         continue;
       }
-      end.told = context.now;
-      if (++end.tellings % kTellingsPerRead == 0) {
+      end.reported_at = context.now;
+      if (++end.report_count % kReportsPerRead == 0) {
         RequestRecord(context, JobOf(end.row.task));
       }
       const std::string job = JobOf(end.row.task);
@@ -155,11 +155,11 @@
   }
 }
 
-bool RepeatEndsOf(OwnedWorker& worker, const std::string& task) {
+bool RepeatEndReports(OwnedWorker& worker, const std::string& task) {
   bool found = false;
   for (auto& [sequence, end] : worker.ends) {
     if (end.row.task == task) {
-      end.told = Time::min();
+      end.reported_at = Time::min();
       found = true;
     }
   }
@@ -172,7 +172,8 @@
                    std::vector<EndReport>& out) {
   for (auto& [sequence, end] : worker.ends) {
     if (jobs.contains(JobOf(end.row.task))) {
-      // The owner before may have said so without a successor knowing it.
+      // A previous owner of the job may have confirmed it without the current
+      // one knowing.
       end.stored = false;
       out.push_back(MakeReport(id, end.row));
     }
@@ -196,7 +197,7 @@
                    const LocalRun& run) {
   const std::string owner = OwnerOfJob(context.state, JobOf(task));
   if (owner.empty()) {
-    return;  // an adopter asks what runs, and learns that it does not
+    return;  // the job's next owner queries its runs and finds this one missing
   }
   ++context.state.totals.lost_runs;
   Send(context, owner,
--- a/Source/engine/workers/run_review.cc
+++ b/Source/engine/workers/run_review.cc
@@ -15,26 +15,26 @@
 
 namespace {
 
-// Between two reviews of all runs; small against the time in which the run of a
-// cancelled job has to be gone.
-constexpr Duration kReviewInterval = milliseconds(250);
-// A job's owner asks for each run every kRunQueryDelay, and a slow one a second
-// later.
-constexpr Duration kUnaskedFor = kRunQueryDelay + milliseconds(1000);
-// Between two reads of one job's record for this.
-constexpr Duration kAskAgain = milliseconds(1000);
+// Between two checks of all runs. Short compared to the time within which the
+// runs of a cancelled job must have ended.
+constexpr Duration kCheckInterval = milliseconds(250);
+// A job's owner queries each run every kRunQueryDelay, and a slow one is a
+// second late.
+constexpr Duration kUnqueriedTime = kRunQueryDelay + milliseconds(1000);
+// Between two reads of the same job's record.
+constexpr Duration kReadInterval = milliseconds(1000);
 
-struct Review {
-  std::set<std::string> ended{};  // jobs
-  std::set<std::string> unsure{};
+struct RunCheck {
+  std::set<std::string> ended{};                // jobs
+  std::set<std::string> unverified{};           // jobs
   std::map<std::string, RunReports> reports{};  // by the jobs' owners
 };
 
-void ReviewRun(Context& context,
-               const std::string& id,
-               const std::string& task,
-               const LocalRun& run,
-               Review& review) {
+void CheckRun(Context& context,
+              const std::string& id,
+              const std::string& task,
+              const LocalRun& run,
+              RunCheck& check) {
   const auto name = ParseTaskName(task);
   if (!name || run.phase == RunPhase::kStopping) {
     return;
@@ -43,19 +43,20 @@
   const Job* own = FindJob(context.state, name->job);
   const bool ended = own != nullptr ? IsFinal(own->stored_state) : known.ended;
   if (ended) {
-    review.ended.insert(name->job);
+    check.ended.insert(name->job);
     return;
   }
   const std::string owner = OwnerOfJob(context.state, name->job);
-  const bool unasked = HasPassed(context.now, run.asked_for, kUnaskedFor);
-  if ((!owner.empty() && !unasked) ||
-      !HasPassed(context.now, known.reviewed, kAskAgain)) {
+  const bool unqueried =
+      HasPassed(context.now, run.last_queried, kUnqueriedTime);
+  if ((!owner.empty() && !unqueried) ||
+      !HasPassed(context.now, known.last_checked, kReadInterval)) {
     return;
   }
-  review.unsure.insert(name->job);
+  check.unverified.insert(name->job);
   if (!owner.empty()) {
     const bool runs = run.phase == RunPhase::kRunning;
-    review.reports[owner].runs.push_back(
+    check.reports[owner].runs.push_back(
         {.task = task,
          .run = run.run,
          .worker = id,
@@ -66,30 +67,30 @@
 
 }  // namespace
 
-void ReviewRuns(Context& context) {
-  if (!HasPassed(context.now, context.state.runs_checked_at, kReviewInterval)) {
+void CheckRuns(Context& context) {
+  if (!HasPassed(context.now, context.state.runs_checked_at, kCheckInterval)) {
     return;
   }
   context.state.runs_checked_at = context.now;
-  Review review;
+  RunCheck check;
   for (const auto& [id, worker] : context.state.owned) {
     if (!worker.claimed) {
       continue;
     }
     for (const auto& [task, run] : worker.runs) {
-      ReviewRun(context, id, task, run, review);
+      CheckRun(context, id, task, run, check);
     }
   }
-  for (const std::string& it : review.ended) {
-    StopRunsOf(context, it);
+  for (const std::string& it : check.ended) {
+    StopRunsOfJob(context, it);
   }
-  for (const std::string& it : review.unsure) {
-    context.state.known[it].reviewed = context.now;
+  for (const std::string& it : check.unverified) {
+    context.state.known[it].last_checked = context.now;
     if (FindJob(context.state, it) == nullptr) {
       RequestRecord(context, it);
     }
   }
-  for (auto& [owner, reports] : review.reports) {
+  for (auto& [owner, reports] : check.reports) {
     Send(context, owner, std::move(reports));
   }
 }
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -8,19 +8,20 @@
 
 namespace {
 
-// Above the pause and the timeout of the watch of workers, below the time for
-// which entries last.
+// Longer than the pause and the timeout of the watch of workers, shorter than
+// the lifetime of their entries.
 constexpr Duration kListLag = milliseconds(2300);
 
-// Of two lives at one address at most one is there, and the list can't tell
-// which: an entry that a life sent before it ended may be stored long after its
-// successor's, as when a cut held it up. Taken for the later one it would end
-// its successor, whose tasks would then run twice. So the workers' owners ask
-// at the address, where only the one that is there answers.
-void AskEarlierLives(Context& context, const WorkerInfo& info) {
+// Of two incarnations at one address at most one is running, and the list does
+// not tell which: an entry that was sent before a crash may be stored long
+// after the entry of the next incarnation, for example when a network cut
+// delayed it. Declaring the other one lost by the order of entries would then
+// run its tasks twice. The workers' owners therefore poll the address, where
+// only the running incarnation replies.
+void CheckWorkersAtAddress(Context& context, const WorkerInfo& info) {
   for (auto& [id, worker] : context.state.owned) {
     if (id != info.id && worker.info.address == info.address) {
-      worker.proof_wanted = worker.claimed;
+      worker.ownership_check_due = worker.claimed;
     }
   }
 }
@@ -39,7 +40,7 @@
   const auto& info = std::get<WorkerInfo>(decoded);
   const bool is_new = !context.state.workers.contains(id);
   if (is_new) {
-    AskEarlierLives(context, info);
+    CheckWorkersAtAddress(context, info);
   }
   ListedWorker& worker = context.state.workers[id];
   const bool changed = is_new || worker.info != info || !worker.listed;
@@ -59,7 +60,7 @@
   }
   context.state.placement_due = true;
   OnWorkerListed(context, id);
-  ReviewOwnership(context);
+  ScheduleOwnershipCheck(context);
 }
 
 void OnWorkerRemoved(Context& context, const std::string& key) {
@@ -142,7 +143,7 @@
     changed = true;
   }
   if (changed) {
-    ReviewOwnership(context);
+    ScheduleOwnershipCheck(context);
   }
 }
 
--- a/Source/engine/workers/worker_listing.cc
+++ b/Source/engine/workers/worker_listing.cc
@@ -16,16 +16,16 @@
 
 namespace {
 
-// A run that a former owner started.
-void AddFound(Context& context,
-              OwnedWorker& worker,
-              const RunningRow& row,
-              const TaskName& name) {
+// Adds a run that a former owner of the worker started.
+void AddFoundRun(Context& context,
+                 OwnedWorker& worker,
+                 const RunningRow& row,
+                 const TaskName& name) {
   LocalRun& run = worker.runs[row.task];
   run = LocalRun{.run = row.run,
                  .phase = RunPhase::kRunning,
                  .described = false,
-                 .asked_for = context.now,
+                 .last_queried = context.now,
                  .checkpoint = row.checkpoint,
                  .since = context.now,
                  .confirmed = context.now,
@@ -36,7 +36,7 @@
   } else {
     RequestSpec(context, name.job);
   }
-  context.state.known[name.job].heard = context.now;
+  context.state.known[name.job].last_update = context.now;
   RequestRecord(context, name.job);
 }
 
@@ -52,7 +52,7 @@
                   {{"worker", id}, {"problem", "task name " + row.task}});
       return;
     }
-    AddFound(context, worker, row, *name);
+    AddFoundRun(context, worker, row, *name);
     it = worker.runs.find(row.task);
   }
   LocalRun& run = it->second;
@@ -64,17 +64,17 @@
   run.progress = first ? BeginProgress(context.now, row.percent)
                        : AddProgress(run.progress, context.now, row.percent);
   run.figure = row.figure;
-  Confirm(context, id, row.task, run);
+  ConfirmRun(context, id, row.task, run);
 }
 
-// Runs that the worker had, and that its listing lacks, have ended; their end
-// stands in the listing or was acknowledged. A listing that was asked for
-// before the run was confirmed does not speak of it.
+// Removes runs that the worker had and no longer lists: they have ended, and
+// their ends are in this listing or were acknowledged. A listing that was
+// requested before the run was confirmed need not contain it.
 void RemoveUnlisted(Context& context,
                     const std::string& id,
                     OwnedWorker& worker,
                     const WorkerDone& listing,
-                    Time asked) {
+                    Time requested_at) {
   std::set<std::string> listed;
   for (const RunningRow& it : listing.running) {
     listed.insert(it.task);
@@ -82,18 +82,18 @@
   std::vector<std::string> missing;
   for (const auto& [task, run] : worker.runs) {
     const bool was_there =
-        run.confirmed != Time::min() && run.confirmed < asked;
-    const bool orders_done =
+        run.confirmed != Time::min() && run.confirmed < requested_at;
+    const bool commands_done =
         run.phase == RunPhase::kRunning ||
         (run.phase == RunPhase::kStopping && run.stop_answered);
-    if (was_there && orders_done && !listed.contains(task)) {
+    if (was_there && commands_done && !listed.contains(task)) {
       missing.push_back(task);
     }
   }
   for (const std::string& it : missing) {
     LocalRun& run = worker.runs[it];
-    if (run.answer_offer) {
-      AnswerIfAsked(context, id, it, run, OfferOutcome::kStopped);
+    if (run.offer_unanswered) {
+      AnswerPendingOffer(context, id, it, run, OfferOutcome::kStopped);
     } else if (!HasEndOf(worker, it, run.run)) {
       ReportLostRun(context, id, it, run);
     }
@@ -110,7 +110,7 @@
                   const std::string& id,
                   OwnedWorker& worker,
                   const WorkerDone& listing,
-                  Time asked) {
+                  Time requested_at) {
   bool ended = false;
   for (const EndedRow& it : listing.ended) {
     ended = ApplyEnd(context, id, worker, it) || ended;
@@ -121,12 +121,12 @@
   for (const RunningRow& it : listing.running) {
     ApplyRunning(context, id, worker, it);
   }
-  RemoveUnlisted(context, id, worker, listing, asked);
+  RemoveUnlisted(context, id, worker, listing, requested_at);
   if (ended) {
     RoomChanged(context, id);
   }
-  ReviewPace(context, id, worker);
-  ReviewProgress(context, id, worker);
+  AdjustPace(context, id, worker);
+  CheckProgress(context, id, worker);
 }
 
 void DescribeRuns(Context& context,
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -27,17 +27,18 @@
 void BeginClaim(Context& context, const WorkerInfo& info) {
   OwnedWorker& worker = context.state.owned[info.id];
   worker.info = info;
-  // What the owner before has learned.
+  // The previous owner's estimate, from its digest.
   worker.speed = SpeedEstimate(context.state.view[info.id].slowness);
-  worker.hold_at = context.now;
+  worker.next_poll_at = context.now;
   worker.lease_bound = ReleasedLeaseEnd(context, info.id);
-  SuspectLeases(context, worker);
+  AssumeForeignLeases(context, worker);
 }
 
-// Whoever registers before the last lease has run out may claim the worker and
-// renew what runs there. Without knowing all members up to then, a worker that
-// another one reaches is taken for gone, and its tasks run twice.
-bool IsOwnersWord(const Context& context, const OwnedWorker& worker) {
+// A member that registers before the last lease has expired may claim the
+// worker and renew its leases. Unless all members up to that time are known, a
+// worker that another member reaches could be declared lost, and its tasks
+// would run twice.
+bool MayDeclareLost(const Context& context, const OwnedWorker& worker) {
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
   const Time run_out =
@@ -47,36 +48,38 @@
              context.self();
 }
 
-// Nothing runs there any more, whoever renewed it last. That the store has
-// dropped the worker's entry says nothing of its leases: when a failure domain
-// is cut off, the worker and its former owner are cut off together, and the one
-// goes on renewing what runs at the other.
-bool HasRunOut(const Context& context, const OwnedWorker& worker) {
+// All leases have expired, including those of former owners. A missing entry in
+// the store proves nothing: when a failure domain is cut off, the worker and
+// its former owner can be cut off together, and the owner keeps renewing.
+bool LeasesHaveExpired(const Context& context, const OwnedWorker& worker) {
   return context.now >= worker.lease_bound &&
          context.now >= ForeignLeasesEnd(context, worker);
 }
 
-// A hold got no answer, and no other call has shown since whether the worker is
-// there.
-bool IsMissing(const OwnedWorker& worker) {
-  return worker.missed_since != Time(0) && !IsSilent(worker);
+// One poll got no reply, and the next one has not yet shown whether the worker
+// is reachable.
+bool HasMissedPoll(const OwnedWorker& worker) {
+  return worker.missed_since != Time(0) && !IsUnresponsive(worker);
 }
 
 bool MayRenew(const Context& context, const OwnedWorker& worker) {
-  const bool silent =
+  const bool unresponsive =
       worker.missed_since != Time(0) &&
       HasPassed(context.now, worker.missed_since, kMaxRenewalWithoutAnswer);
-  const bool alone = HasPassed(context.now, context.state.members.last_contact,
+  const bool without_store = HasPassed(
+      context.now, context.state.members.last_contact,
                                kMaxRenewalWithoutStore);
-  return worker.claimed && !silent && !alone && !context.state.stop.released;
+  return worker.claimed && !unresponsive && !without_store &&
+         !context.state.stop.released;
 }
 
-// Members may have come since the claim began. Going on would take the worker
-// from its rightful owner, which has a lower fence, and nobody would notice.
+// Members may have registered since the claim began. Completing the claim would
+// take the worker from its rightful owner, which has a lower fence, without
+// either of them detecting it.
 void DropStaleClaims(Context& context) {
   std::erase_if(context.state.owned, [&](const auto& it) {
     const OwnedWorker& worker = it.second;
-    if (worker.claimed || worker.hold_in_flight) {
+    if (worker.claimed || worker.poll_in_flight) {
       return false;
     }
     const std::string owner =
@@ -84,7 +87,7 @@
     if (owner == context.self()) {
       return false;
     }
-    // The rightful owner may never have seen a worker that left the list.
+    // The rightful owner may not know a worker that has left the list.
     if (auto remembered = RememberedFor(context.state, it.first)) {
       Send(context, owner, RunQueries{.remembered = {std::move(*remembered)}});
     }
@@ -97,58 +100,62 @@
   return lost_at != Time::min() && context.now - lost_at < kLossyPeriod;
 }
 
-// A silent worker may be one whose answers have become slow.
-Duration HoldSlack(const Context& context, const OwnedWorker& worker) {
-  if (worker.claimed && !IsSilent(worker) &&
-      (IsMissing(worker) || AnswersGetLost(context))) {
+// Uses the full slack for an unresponsive worker, whose replies may merely have
+// become slow.
+Duration PollSlack(const Context& context, const OwnedWorker& worker) {
+  if (worker.claimed && !IsUnresponsive(worker) &&
+      (HasMissedPoll(worker) || AnswersGetLost(context))) {
     return context.state.worker_responses.response_time.Timeout(kMinPollSlack,
                                                                 kPollSlack);
   }
   return kPollSlack;
 }
 
-// A poll without a wait shows whether a hold was lost or its worker is silent.
-Duration HoldWait(const Context& context, const OwnedWorker& worker) {
+// A poll without a wait tells a lost reply from an unresponsive worker.
+Duration PollWait(const Context& context, const OwnedWorker& worker) {
   if (worker.missed_since != Time(0)) {
     return Duration(0);
   }
   return AnswersGetLost(context) ? kLossyPollWait : kPollWait;
 }
 
-// Renewed often enough that the next hold may get lost.
-void SendHold(Context& context, const std::string& id, OwnedWorker& worker) {
-  PollWorker hold{.acknowledged = worker.acknowledged};
+// Polls the worker. Leases last long enough for the next poll to get lost.
+void SendPoll(Context& context, const std::string& id, OwnedWorker& worker) {
+  PollWorker poll{.acknowledged = worker.acknowledged};
   if (!worker.claimed) {
     if (context.state.members.fence <= worker.fence) {
-      // Refused with this one already.
+      // The worker has refused this fence already.
       RequestFenceAdvance(context);
-      worker.hold_at = context.now + kPollRetryDelay;
+      worker.next_poll_at = context.now + kPollRetryDelay;
       return;
     }
     worker.fence = context.state.members.fence;
   }
-  hold.fence = worker.fence;
+  poll.fence = worker.fence;
   if (MayRenew(context, worker)) {
     const bool first = worker.lease_until_ms == 0;
-    hold.lease_until_ms = NextLease(context, worker);
-    hold.wait = HoldWait(context, worker);
+    poll.lease_until_ms = NextLease(context, worker);
+    poll.wait = PollWait(context, worker);
     if (first) {
-      RoomChanged(context, id);  // it can take tasks from now on
+      RoomChanged(context, id);  // it accepts tasks from now on
     }
   }
-  worker.hold_in_flight = true;
-  worker.hold_sent = context.now;
+  worker.poll_in_flight = true;
+  worker.poll_sent_at = context.now;
   ++context.state.totals.polls;
   context.Emit(CallWorker{.worker = id,
                           .address = worker.info.address,
-                          .request = hold,
-                          .timeout = hold.wait + HoldSlack(context, worker)});
+                          .request = poll,
+                          .timeout = poll.wait + PollSlack(context, worker)});
 }
 
-// Polls beside the hold that waits, to learn whether the worker is still owned.
-void SendProof(Context& context, const std::string& id, OwnedWorker& worker) {
-  worker.proof_wanted = false;
-  worker.proof_in_flight = true;
+// Polls without a wait, beside the long poll in flight, to check whether the
+// worker still accepts this instance's fence.
+void SendOwnershipCheck(Context& context,
+                        const std::string& id,
+                        OwnedWorker& worker) {
+  worker.ownership_check_due = false;
+  worker.ownership_check_in_flight = true;
   ++context.state.totals.polls;
   context.Emit(
       CallWorker{.worker = id,
@@ -158,95 +165,95 @@
                  .timeout = kPollSlack});
 }
 
-bool IsProof(const PollWorker& hold) {
-  return hold.lease_until_ms == 0 && hold.wait == Duration(0);
+bool IsOwnershipCheck(const PollWorker& poll) {
+  return poll.lease_until_ms == 0 && poll.wait == Duration(0);
 }
 
-void OnHeld(Context& context,
-            const std::string& id,
-            OwnedWorker& worker,
-            const WorkerDone& done,
-            Time asked) {
-  worker.answered = context.now;
-  worker.proven = std::max(worker.proven, asked);
-  worker.doubted = false;
-  const bool was_silent = IsSilent(worker);
-  if (std::exchange(worker.silence_told, false)) {
-    context.Log(
-        EventNumber::kWorkerBack,
-        {{"worker", id},
-         {"after_ms",
-          std::to_string(ToMilliseconds(context.now - worker.silent_since))}});
+void OnPollDone(Context& context,
+                const std::string& id,
+                OwnedWorker& worker,
+                const WorkerDone& done,
+                Time requested_at) {
+  worker.last_reply_at = context.now;
+  worker.owned_as_of = std::max(worker.owned_as_of, requested_at);
+  worker.unverified = false;
+  const bool was_unresponsive = IsUnresponsive(worker);
+  if (std::exchange(worker.unresponsive_logged, false)) {
+    context.Log(EventNumber::kWorkerBack,
+                {{"worker", id},
+                 {"after_ms", std::to_string(ToMilliseconds(
+                                  context.now - worker.unresponsive_since))}});
   }
   worker.missed_since = Time(0);
-  worker.silent_since = Time(0);
+  worker.unresponsive_since = Time(0);
   worker.clock_offset_ms = done.clock_ms - ToMilliseconds(context.now);
   const bool claimed_now = !worker.claimed;
   if (claimed_now) {
     worker.claimed = true;
     context.state.lost_workers.erase(id);
     worker.lease_bound = context.now + LeaseSpan(context);
-    worker.foreign_bound = context.now;  // lower fences are refused from now on
+    worker.foreign_bound = context.now;  // it refuses lower fences from now on
     context.Log(EventNumber::kWorkerClaimed,
                 {{"worker", id},
                  {"fence", std::to_string(worker.fence)},
                  {"running", std::to_string(done.running.size())},
                  {"ended", std::to_string(done.ended.size())}});
   }
-  // A worker that was only polled needs its lease renewed at once.
-  const bool renew_now = claimed_now || was_silent;
-  worker.hold_at = context.now + (renew_now ? Duration(0) : kPollInterval);
-  ApplyListing(context, id, worker, done, asked);
+  // A poll without a lease must be followed by a renewal at once.
+  const bool renew_now = claimed_now || was_unresponsive;
+  worker.next_poll_at = context.now + (renew_now ? Duration(0) : kPollInterval);
+  ApplyListing(context, id, worker, done, requested_at);
   AnswerRunQueries(context, id, worker);
   if (renew_now) {
     RoomChanged(context, id);
   }
 }
 
-void OnProof(Context& context, const WorkerAnswered& event) {
+void OnOwnershipCheckReply(Context& context, const WorkerAnswered& event) {
   OwnedWorker& worker = context.state.owned.at(event.worker);
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    worker.proven = std::max(worker.proven, event.called_at);
+    worker.owned_as_of = std::max(worker.owned_as_of, event.called_at);
     ApplyListing(context, event.worker, worker, *done, event.called_at);
     AnswerRunQueries(context, event.worker, worker);
     return;
   }
   const WorkerRefusalKind kind = std::get<WorkerRefused>(event.answer).kind;
   if (kind == WorkerRefusalKind::kFenced) {
-    LoseWorker(context, event.worker);
+    ReleaseWorker(context, event.worker);
   } else if (kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    DeclareWorkerLost(context, event.worker, "replaced by another incarnation");
   }
 }
 
-// Announces to the peers that the worker is gone.
-void TellGone(Context& context, const std::string& id, std::uint64_t fence) {
-  context.state.lost_workers[id] =
-      GoneWorker{.fence = fence, .since = context.now};
+// Announces to the peers that the worker is lost.
+void AnnounceLost(Context& context,
+                  const std::string& id,
+                  std::uint64_t fence) {
+  context.state.lost_workers[id] = LostWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
-void ForgetGone(Context& context) {
+void ForgetLost(Context& context) {
   std::erase_if(context.state.lost_workers, [&](const auto& it) {
     return HasPassed(context.now, it.second.since, kLostWorkerAnnouncedFor);
   });
 }
 
-// Claims the workers that are this instance's by the present members.
+// Claims the workers that the current members assign to this instance.
 void ClaimOwn(Context& context) {
   const bool settled =
       HasPassed(context.now, context.state.members.registered_at, kClaimDelay);
-  // An instance that the store refuses may have been replaced in the list of
-  // members, and may have given workers up to its successor.
+  // An instance that the store refuses may have been removed from the list of
+  // members, and its workers may belong to a successor.
   if (!IsRegistrationCurrent(context) || context.state.stop.requested ||
       !settled) {
     return;
   }
   context.state.ownership_checked_at = context.now;
   for (const auto& [id, it] : context.state.workers) {
-    const bool mine =
+    const bool own =
         ChooseMember(context.state, id, it.info.domain) == context.self();
-    if (mine && !context.state.owned.contains(id)) {
+    if (own && !context.state.owned.contains(id)) {
       BeginClaim(context, it.info);
     }
   }
@@ -254,7 +261,7 @@
 
 }  // namespace
 
-void ReviewOwnership(Context& context) {
+void ScheduleOwnershipCheck(Context& context) {
   context.state.ownership_checked_at = Time::min();
 }
 
@@ -264,80 +271,82 @@
                 kOwnershipCheckInterval)) {
     ClaimOwn(context);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> lost;
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.claimed && worker.proof_wanted && !worker.proof_in_flight) {
-      SendProof(context, id, worker);
+    if (worker.claimed && worker.ownership_check_due &&
+        !worker.ownership_check_in_flight) {
+      SendOwnershipCheck(context, id, worker);
     }
-    if (IsSilent(worker) && IsRegistrationCurrent(context) &&
-        HasRunOut(context, worker)) {
-      if (IsOwnersWord(context, worker)) {
-        gone.push_back(id);
+    if (IsUnresponsive(worker) && IsRegistrationCurrent(context) &&
+        LeasesHaveExpired(context, worker)) {
+      if (MayDeclareLost(context, worker)) {
+        lost.push_back(id);
         continue;
       }
       RequestMembers(context);
     }
-    if (!worker.hold_in_flight && context.now >= worker.hold_at) {
-      SendHold(context, id, worker);
+    if (!worker.poll_in_flight && context.now >= worker.next_poll_at) {
+      SendPoll(context, id, worker);
     }
     DriveRuns(context, id, worker);
   }
-  for (const std::string& it : gone) {
-    WorkerIsGone(context, it, "silent past its leases");
+  for (const std::string& it : lost) {
+    DeclareWorkerLost(context, it, "silent past its leases");
   }
-  ForgetGone(context);
+  ForgetLost(context);
 }
 
-void OnHoldAnswer(Context& context, const WorkerAnswered& event) {
+void OnPollReply(Context& context, const WorkerAnswered& event) {
   const auto it = context.state.owned.find(event.worker);
-  const auto& hold = std::get<PollWorker>(event.request);
-  if (it == context.state.owned.end() || it->second.fence != hold.fence) {
+  const auto& poll = std::get<PollWorker>(event.request);
+  if (it == context.state.owned.end() || it->second.fence != poll.fence) {
     return;
   }
   OwnedWorker& worker = it->second;
-  if (worker.claimed && worker.proof_in_flight && IsProof(hold) &&
-      event.called_at != worker.hold_sent) {
-    worker.proof_in_flight = false;
+  if (worker.claimed && worker.ownership_check_in_flight &&
+      IsOwnershipCheck(poll) && event.called_at != worker.poll_sent_at) {
+    worker.ownership_check_in_flight = false;
     if (!std::holds_alternative<WorkerUnreached>(event.answer)) {
-      return OnProof(context, event);
+      return OnOwnershipCheckReply(context, event);
     }
     return;
   }
-  worker.hold_in_flight = false;
+  worker.poll_in_flight = false;
   const bool unreached = std::holds_alternative<WorkerUnreached>(event.answer);
-  if (hold.wait == Duration(0) && !unreached) {
-    NoteResponse(context, event);
+  if (poll.wait == Duration(0) && !unreached) {
+    RecordResponseTime(context, event);
   }
   if (const auto* done = std::get_if<WorkerDone>(&event.answer)) {
-    OnHeld(context, event.worker, worker, *done, event.called_at);
+    OnPollDone(context, event.worker, worker, *done, event.called_at);
     return;
   }
-  worker.hold_at = context.now + kPollRetryDelay;
+  worker.next_poll_at = context.now + kPollRetryDelay;
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   const bool fenced =
       refused != nullptr && refused->kind == WorkerRefusalKind::kFenced;
   if (fenced) {
-    // It answers; another owner has it. Counted as silent it would be taken for
-    // gone one day, and what runs there would run twice.
+    // The worker replies, and another owner has it. If it counted as
+    // unresponsive, it could be declared lost while its tasks run, and these
+    // would run twice.
     worker.missed_since = Time(0);
-    worker.silent_since = Time(0);
+    worker.unresponsive_since = Time(0);
   } else if (refused == nullptr && worker.claimed &&
              worker.missed_since == Time(0)) {
-    worker.missed_since = worker.hold_sent;
-    worker.hold_at = context.now;
+    worker.missed_since = worker.poll_sent_at;
+    worker.next_poll_at = context.now;
     context.state.worker_responses.unanswered_at = context.now;
     return;
-  } else if (!IsSilent(worker)) {
+  } else if (!IsUnresponsive(worker)) {
     if (worker.missed_since == Time(0)) {
-      worker.missed_since = worker.hold_sent;
+      worker.missed_since = worker.poll_sent_at;
     }
-    worker.silent_since = worker.missed_since;
+    worker.unresponsive_since = worker.missed_since;
     RoomChanged(context, event.worker);
     ReportUnreached(context, event.worker, worker);
   }
   if (refused == nullptr) {
     const auto& unreached = std::get<WorkerUnreached>(event.answer);
-    if (std::exchange(worker.silence_told, true)) {
+    if (std::exchange(worker.unresponsive_logged, true)) {
       return;
     }
     context.Log(EventNumber::kWorkerSilent,
@@ -345,34 +354,34 @@
     return;
   }
   if (refused->kind == WorkerRefusalKind::kReplaced) {
-    WorkerIsGone(context, event.worker, "another life answers");
+    DeclareWorkerLost(context, event.worker, "replaced by another incarnation");
   } else if (refused->kind == WorkerRefusalKind::kFenced) {
     context.Log(
         EventNumber::kClaimRefused,
-        {{"worker", event.worker}, {"fence", std::to_string(hold.fence)}});
+        {{"worker", event.worker}, {"fence", std::to_string(poll.fence)}});
     if (worker.claimed) {
-      LoseWorker(context, event.worker);
+      ReleaseWorker(context, event.worker);
     } else {
       RequestFenceAdvance(context);
     }
   }
 }
 
-void DoubtWorkers(Context& context) {
+void MarkWorkersUnverified(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    worker.doubted = true;
+    worker.unverified = true;
   }
 }
 
-void ExtendDoubtedLeases(Context& context) {
+void ExtendUnverifiedLeases(Context& context) {
   for (auto& [id, worker] : context.state.owned) {
-    if (worker.doubted) {
-      SuspectLeases(context, worker);
+    if (worker.unverified) {
+      AssumeForeignLeases(context, worker);
     }
   }
 }
 
-void LoseWorker(Context& context, const std::string& id) {
+void ReleaseWorker(Context& context, const std::string& id) {
   const auto node = context.state.owned.extract(id);
   if (node.empty()) {
     return;
@@ -380,22 +389,24 @@
   context.Log(EventNumber::kOwnershipLost,
               {{"worker", id}, {"fence", std::to_string(node.mapped().fence)}});
   for (const auto& [task, run] : node.mapped().runs) {
-    const bool never_ran =
-        run.phase == RunPhase::kBooked ||
-        run.phase == RunPhase::kAwaitingRoom ||
-        (run.phase == RunPhase::kStarting && run.ordered == Time::min());
-    if (run.answer_offer && never_ran) {
+    const bool never_ran = run.phase == RunPhase::kBooked ||
+                           run.phase == RunPhase::kAwaitingRoom ||
+                           (run.phase == RunPhase::kStarting &&
+                            run.command_sent_at == Time::min());
+    if (run.offer_unanswered && never_ran) {
       AnswerOffer(context, run.owner, id, task, run.run,
                   OfferOutcome::kNotOwner);
     }
   }
   context.state.digest.changed.erase(id);
-  RememberLease(context, id, node.mapped().lease_bound);
+  RememberReleasedLease(context, id, node.mapped().lease_bound);
 }
 
-void WorkerIsGone(Context& context, const std::string& id, const char* cause) {
-  // Left in the list it would be claimed again with each review until its entry
-  // lapses.
+void DeclareWorkerLost(Context& context,
+                       const std::string& id,
+                       const char* cause) {
+  // Otherwise each ownership check would claim it again until its entry in the
+  // store expires.
   context.state.workers.erase(id);
   const auto node = context.state.owned.extract(id);
   if (!node.empty()) {
@@ -404,7 +415,7 @@
                  {"cause", cause},
                  {"runs", std::to_string(node.mapped().runs.size())}});
     ReportLostRuns(context, id, node.mapped());
-    TellGone(context, id, node.mapped().fence);
+    AnnounceLost(context, id, node.mapped().fence);
   }
   RoomView& view = context.state.view[id];
   view.lost = true;
@@ -420,7 +431,7 @@
   OwnedWorker& worker = it->second;
   RoomView& view = context.state.view[id];
   if (view.fence > worker.fence) {
-    return;  // another owner has said so; the worker will too
+    return;  // another owner has announced it; the worker will refuse ours
   }
   ++worker.version;
   context.state.digest.changed.insert(id);
@@ -441,10 +452,10 @@
       std::all_of(worker.runs.begin(), worker.runs.end(),
                   [](const auto& it) { return it.second.described; });
   return listed != nullptr && listed->listed && !listed->info.draining &&
-         worker.claimed && described && !IsSilent(worker) &&
+         worker.claimed && described && !IsUnresponsive(worker) &&
          worker.lease_until_ms != 0 && context.now >= worker.unhealthy_until &&
          context.now >= worker.quarantine_until &&
-         context.now >= worker.still_until &&
+         context.now >= worker.stalled_until &&
          context.now >= worker.leaving_until;
 }
 
@@ -465,8 +476,8 @@
   return worker.lease_until_ms;
 }
 
-bool IsSilent(const OwnedWorker& worker) {
-  return worker.silent_since != Time(0);
+bool IsUnresponsive(const OwnedWorker& worker) {
+  return worker.unresponsive_since != Time(0);
 }
 
 OwnedWorker* FindClaimed(State& state, const std::string& id) {
--- a/Source/engine/workers/worker_runs.cc
+++ b/Source/engine/workers/worker_runs.cc
@@ -15,41 +15,42 @@
 
 namespace {
 
-// The stop of a run is repeated while the run is not listed as ended; above the
-// longest stop and the longest wait for a listing.
+// An answered stop is repeated until the run is listed as ended. Longer than
+// the slowest stop and the longest wait for a listing.
 constexpr Duration kStopRepeat = milliseconds(2500);
-// Of the timeout of an order without an answer.
-constexpr std::uint32_t kMostDoublings = 4;
+// Of a command's timeout, one for each attempt without a reply.
+constexpr std::uint32_t kMaxDoublings = 4;
 
-// Grows with each try: answers that have become slow are else never heard.
-Duration OrderTimeout(const Context& context, std::uint32_t tries) {
+// Doubles with each attempt, so that replies that have become slow still
+// arrive in time.
+Duration CommandTimeout(const Context& context, std::uint32_t tries) {
   const Duration first = context.state.worker_responses.response_time.Timeout(
       kMinCommandTimeout, kMaxCommandTimeout);
-  return std::min(first * (1 << std::min(tries, kMostDoublings)),
+  return std::min(first * (1 << std::min(tries, kMaxDoublings)),
                   kMaxCommandTimeout);
 }
 
-void NoteOrderAnswer(Context& context, const WorkerAnswered& event) {
+void RecordCommandReply(Context& context, const WorkerAnswered& event) {
   WorkerResponses& answers = context.state.worker_responses;
   if (std::holds_alternative<WorkerUnreached>(event.answer)) {
     answers.unanswered_at = context.now;
   } else {
-    NoteResponse(context, event);
+    RecordResponseTime(context, event);
   }
 }
 
-void OrderStop(Context& context,
-               const std::string& id,
-               OwnedWorker& worker,
-               const std::string& task,
-               LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+void SendStop(Context& context,
+              const std::string& id,
+              OwnedWorker& worker,
+              const std::string& task,
+              LocalRun& run) {
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   context.Emit(CallWorker{
       .worker = id,
       .address = worker.info.address,
       .request = StopRun{.task = task, .run = run.run, .fence = worker.fence},
-      .timeout = OrderTimeout(context, run.order_tries++)});
+      .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
 OfferOutcome OutcomeOf(WorkerRefusalKind kind) {
@@ -79,13 +80,13 @@
                     LocalRun& run,
                     WorkerRefusalKind kind) {
   if (kind == WorkerRefusalKind::kLate) {
-    return;  // repeated with the next lease
+    return;  // the command is repeated with the next lease
   }
   if (kind == WorkerRefusalKind::kOldRun) {
-    // An earlier try of this order, unanswered, has started it, and it has
-    // ended. Answering "refused" would make the job's owner start a task again
-    // that may be done: the next listing says how it ended.
-    return Confirm(context, id, task, run);
+    // An earlier attempt without a reply has started the run, and the run has
+    // ended. A refusal would make the job's owner start a task again that may
+    // be done; the next listing reports how it ended.
+    return ConfirmRun(context, id, task, run);
   }
   context.Log(EventNumber::kStartRefused, {{"task", task},
                                            {"run", std::to_string(run.run)},
@@ -95,12 +96,12 @@
     worker.unhealthy_until = context.now + kUnhealthyPause;
   }
   if (run.start_unanswered) {
-    // The worker may carry out the earlier try seconds from now, when the task
-    // has been started elsewhere: it would run twice. Once a stop was taken the
-    // worker refuses the start, and the job's owner gets its answer.
+    // The worker may execute the earlier attempt seconds from now, when the
+    // task has been started elsewhere, so that it would run twice. After a stop
+    // the worker refuses the start, and the job's owner gets its answer.
     return BeginRunStop(context, id, worker, task, run);
   }
-  AnswerIfAsked(context, id, task, run, OutcomeOf(kind));
+  AnswerPendingOffer(context, id, task, run, OutcomeOf(kind));
   RemoveRun(context, id, worker, task);
 }
 
@@ -108,16 +109,16 @@
                    const WorkerAnswered& event,
                    OwnedWorker& worker,
                    LocalRun& run,
-                   const StartRun& order) {
+                   const StartRun& command) {
   if (std::holds_alternative<WorkerDone>(event.answer)) {
-    Confirm(context, event.worker, order.task, run);
+    ConfirmRun(context, event.worker, command.task, run);
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused == nullptr) {
     run.start_unanswered = true;
   } else if (run.phase == RunPhase::kStarting) {
-    OnStartRefused(context, event.worker, worker, order.task, run,
+    OnStartRefused(context, event.worker, worker, command.task, run,
                    refused->kind);
   }
 }
@@ -126,22 +127,22 @@
                   const WorkerAnswered& event,
                   LocalRun& run) {
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
-  const bool old =
+  const bool old_run =
       refused != nullptr && refused->kind == WorkerRefusalKind::kOldRun;
-  if (std::holds_alternative<WorkerDone>(event.answer) || old) {
+  if (std::holds_alternative<WorkerDone>(event.answer) || old_run) {
     run.stop_answered = true;
     run.confirmed = context.now;
   }
 }
 
-// The order was sent to the worker.
-bool IsOrdered(const LocalRun& run) {
+// Whether the run's start was sent, so that the worker may have the run.
+bool StartWasSent(const LocalRun& run) {
   return run.phase != RunPhase::kBooked && run.phase != RunPhase::kAwaitingRoom;
 }
 
-template <typename Order>
-const Order* OrderOf(const WorkerAnswered& event) {
-  return std::get_if<Order>(&event.request);
+template <typename Command>
+const Command* CommandOf(const WorkerAnswered& event) {
+  return std::get_if<Command>(&event.request);
 }
 
 bool MustMove(const Context& context, const OwnedWorker& worker) {
@@ -161,32 +162,32 @@
               OwnedWorker& worker,
               const std::string& task,
               LocalRun& run) {
-  if (run.order_in_flight ||
-      !HasPassed(context.now, run.ordered, kCommandRetryDelay)) {
+  if (run.command_in_flight ||
+      !HasPassed(context.now, run.command_sent_at, kCommandRetryDelay)) {
     return;
   }
   if (run.phase == RunPhase::kStarting) {
     if (HasPassed(context.now, run.since, kStartTimeout)) {
       BeginRunStop(context, id, worker, task, run);
     } else {
-      OrderStart(context, id, worker, task, run);
+      SendStart(context, id, worker, task, run);
     }
   } else if (run.phase == RunPhase::kStopping &&
              (!run.stop_answered ||
-              HasPassed(context.now, run.ordered, kStopRepeat))) {
-    OrderStop(context, id, worker, task, run);
+              HasPassed(context.now, run.command_sent_at, kStopRepeat))) {
+    SendStop(context, id, worker, task, run);
   }
 }
 
 }  // namespace
 
-void OrderStart(Context& context,
-                const std::string& id,
-                OwnedWorker& worker,
-                const std::string& task,
-                LocalRun& run) {
-  run.ordered = context.now;
-  run.order_in_flight = true;
+void SendStart(Context& context,
+               const std::string& id,
+               OwnedWorker& worker,
+               const std::string& task,
+               LocalRun& run) {
+  run.command_sent_at = context.now;
+  run.command_in_flight = true;
   ++context.state.totals.starts;
   context.Emit(
       CallWorker{.worker = id,
@@ -198,16 +199,16 @@
                                      .checkpoint = run.checkpoint,
                                      .fence = worker.fence,
                                      .lease_until_ms = worker.lease_until_ms},
-                 .timeout = OrderTimeout(context, run.order_tries++)});
+                 .timeout = CommandTimeout(context, run.command_attempts++)});
 }
 
-void NoteResponse(Context& context, const WorkerAnswered& event) {
+void RecordResponseTime(Context& context, const WorkerAnswered& event) {
   ResponseTime& time = context.state.worker_responses.response_time;
   time = time.With(context.now - event.called_at);
 }
 
 void EnterPhase(Context& context, LocalRun& run, RunPhase phase) {
-  run.order_tries = 0;
+  run.command_attempts = 0;
   run.phase = phase;
   run.since = context.now;
 }
@@ -230,27 +231,27 @@
   }
   EnterPhase(context, run, RunPhase::kStopping);
   run.stop_answered = false;
-  OrderStop(context, id, worker, task, run);
+  SendStop(context, id, worker, task, run);
 }
 
-void AnswerIfAsked(Context& context,
-                   const std::string& id,
-                   const std::string& task,
-                   LocalRun& run,
-                   OfferOutcome outcome) {
-  if (std::exchange(run.answer_offer, false)) {
+void AnswerPendingOffer(Context& context,
+                        const std::string& id,
+                        const std::string& task,
+                        LocalRun& run,
+                        OfferOutcome outcome) {
+  if (std::exchange(run.offer_unanswered, false)) {
     AnswerOffer(context, run.owner, id, task, run.run, outcome);
   }
 }
 
-void Confirm(Context& context,
-             const std::string& id,
-             const std::string& task,
-             LocalRun& run) {
+void ConfirmRun(Context& context,
+                const std::string& id,
+                const std::string& task,
+                LocalRun& run) {
   run.confirmed = context.now;
   if (run.phase == RunPhase::kStarting) {
     EnterPhase(context, run, RunPhase::kRunning);
-    AnswerIfAsked(context, id, task, run, OfferOutcome::kStarted);
+    AnswerPendingOffer(context, id, task, run, OfferOutcome::kStarted);
   }
 }
 
@@ -268,18 +269,17 @@
       continue;
     }
     NoteOwner(known, from, it.generation);
-    known.heard = context.now;
+    known.last_update = context.now;
     const auto run = worker->runs.find(it.task);
     if (run == worker->runs.end() || run->second.run != it.run) {
-      // The run's offer may come after this. Taking it would start what the
-      // job's owner has just stopped.
-      std::uint64_t& refused = known.refused[it.task];
+      // The run's offer may arrive after this stop and must not start the run.
+      std::uint64_t& refused = known.refused_runs[it.task];
       refused = std::max(refused, it.run);
       ReportRun(context, from,
                 {.task = it.task, .run = it.run, .worker = it.worker});
       continue;
     }
-    if (!IsOrdered(run->second)) {
+    if (!StartWasSent(run->second)) {
       AnswerOffer(context, from, it.worker, it.task, it.run,
                   OfferOutcome::kStopped);
       RemoveRun(context, it.worker, *worker, it.task);
@@ -289,18 +289,19 @@
   }
 }
 
-void OnOrderAnswer(Context& context, const WorkerAnswered& event) {
-  NoteOrderAnswer(context, event);
+void OnCommandReply(Context& context, const WorkerAnswered& event) {
+  RecordCommandReply(context, event);
   const auto worker = context.state.owned.find(event.worker);
   if (worker == context.state.owned.end()) {
     return;
   }
   const auto* refused = std::get_if<WorkerRefused>(&event.answer);
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kReplaced) {
-    return WorkerIsGone(context, event.worker, "another life answers");
+    return DeclareWorkerLost(context, event.worker,
+                             "replaced by another incarnation");
   }
-  const auto* start = OrderOf<StartRun>(event);
-  const auto* stop = OrderOf<StopRun>(event);
+  const auto* start = CommandOf<StartRun>(event);
+  const auto* stop = CommandOf<StopRun>(event);
   const std::uint64_t fence = start != nullptr  ? start->fence
                               : stop != nullptr ? stop->fence
                                                 : 0;
@@ -308,7 +309,7 @@
     return;
   }
   if (refused != nullptr && refused->kind == WorkerRefusalKind::kFenced) {
-    return LoseWorker(context, event.worker);
+    return ReleaseWorker(context, event.worker);
   }
   const std::string& task = start != nullptr ? start->task : stop->task;
   const std::uint64_t number = start != nullptr ? start->run : stop->run;
@@ -316,7 +317,7 @@
   if (run == worker->second.runs.end() || run->second.run != number) {
     return;
   }
-  run->second.order_in_flight = false;
+  run->second.command_in_flight = false;
   if (start != nullptr) {
     OnStartAnswer(context, event, worker->second, run->second, *start);
   } else {
@@ -347,9 +348,9 @@
   DriveRunsAwaitingRoom(context, id, worker);
 }
 
-void SendAnswers(Context& context,
-                 const std::string& to,
-                 OfferAnswers answers) {
+void SendOfferAnswers(Context& context,
+                      const std::string& to,
+                      OfferAnswers answers) {
   std::set<std::string> refused;
   for (const OfferAnswer& it : answers.answers) {
     const bool taken = it.outcome == OfferOutcome::kStarted ||
@@ -369,29 +370,29 @@
                  const std::string& task,
                  std::uint64_t run,
                  OfferOutcome outcome) {
-  SendAnswers(context, to,
-              OfferAnswers{.answers = {{.task = task,
-                                        .run = run,
-                                        .worker = worker,
-                                        .outcome = outcome}}});
+  SendOfferAnswers(context, to,
+                   OfferAnswers{.answers = {{.task = task,
+                                             .run = run,
+                                             .worker = worker,
+                                             .outcome = outcome}}});
 }
 
-void StopRunsOf(Context& context, const std::string& job) {
+void StopRunsOfJob(Context& context, const std::string& job) {
   for (auto& [id, worker] : context.state.owned) {
-    std::vector<std::string> not_ordered;
+    std::vector<std::string> not_started;
     for (auto& [task, run] : worker.runs) {
       const auto name = ParseTaskName(task);
       if (!worker.claimed || !name || name->job != job) {
         continue;
       }
-      if (IsOrdered(run)) {
+      if (StartWasSent(run)) {
         BeginRunStop(context, id, worker, task, run);
       } else {
-        AnswerIfAsked(context, id, task, run, OfferOutcome::kStopped);
-        not_ordered.push_back(task);
+        AnswerPendingOffer(context, id, task, run, OfferOutcome::kStopped);
+        not_started.push_back(task);
       }
     }
-    for (const std::string& it : not_ordered) {
+    for (const std::string& it : not_started) {
       RemoveRun(context, id, worker, it);
     }
   }
--- a/Tests/engine/cancel_test.cc
+++ b/Tests/engine/cancel_test.cc
@@ -149,7 +149,7 @@
   fleet.Submit("n0", "j1", spec);
   fleet.Run(seconds(1));
   const std::string stalled = fleet.seen.back().worker.substr(0, 2);
-  fleet.worker(stalled).StandStill(fleet.now(), fleet.now() + seconds(60));
+  fleet.worker(stalled).Stall(fleet.now(), fleet.now() + seconds(60));
   REQUIRE(
       fleet.RunUntil([&] { return CountRuns(fleet, "j1") > 4; }, seconds(8)));
   fleet.Run(milliseconds(200));
