--- a/Source/scheduler/claims.cc
+++ b/Source/scheduler/claims.cc
@@ -19,10 +19,10 @@
 constexpr char kClaimKind[] = "claim";
 constexpr Duration kPlatformRetryAfter = std::chrono::seconds(2);
 // A longer answer is not kept; a retry is then told that the request ran.
-constexpr std::size_t kMaxClaimAnswer = 4096;
+constexpr std::size_t kMaxClaimAnswerBytes = 4096;
 
 // id, writer, state, wall_ms, answer
-constexpr Json::ArrayIndex kClaimMembers = 5;
+constexpr Json::ArrayIndex kClaimElementCount = 5;
 
 constexpr std::array<const char*, 6> kStateNames = {
     "claimed", "released", "ran", "failed", "may_have_run", "accepted"};
@@ -45,14 +45,14 @@
   if (current == nullptr) {
     return true;
   }
-  const auto standing = DecodeClaim(current->body);
-  const auto wanted = DecodeClaim(pending.body);
-  if (!standing || !wanted) {
+  const auto current_claim = DecodeClaim(current->body);
+  const auto new_claim = DecodeClaim(pending.body);
+  if (!current_claim || !new_claim) {
     return false;
   }
-  const bool is_own =
-      standing->id == wanted->id && standing->writer == wanted->writer;
-  return is_own || standing->state == ClaimState::kReleased;
+  const bool is_own = current_claim->id == new_claim->id &&
+                      current_claim->writer == new_claim->writer;
+  return is_own || current_claim->state == ClaimState::kReleased;
 }
 
 OpenLog& ShardLog(Context& context, const std::string& name) {
@@ -73,8 +73,8 @@
        .max_batch_bytes = static_cast<std::size_t>(policy.max_batch_bytes),
        .retry = {.seed = state.random()},
        .still_wanted = MayReplace,
-       .keep = [wall_ms, retention_ms](const LogRecord& standing) {
-         const auto claim = DecodeClaim(standing.body);
+       .keep = [wall_ms, retention_ms](const LogRecord& current) {
+         const auto claim = DecodeClaim(current.body);
          return claim && claim->wall_ms + retention_ms > *wall_ms;
        }});
   RunLedger(context, name, open.log->Open(context.now()));
@@ -90,13 +90,15 @@
       .id = id,
       .writer = OwnWriter(context),
       .state = state,
-      .answer = answer.size() <= kMaxClaimAnswer ? answer : "",
+      .answer = answer.size() <= kMaxClaimAnswerBytes ? answer : "",
       .wall_ms = *context.state().wall_ms};
   return {.key = key, .kind = kClaimKind, .body = EncodeClaim(claim)};
 }
 
 // Answers the request or job with a verdict that another one's claim gives.
-void EndWork(Context& context, const std::string& id, Verdict verdict) {
+void FinishUndispatched(Context& context,
+                        const std::string& id,
+                        Verdict verdict) {
   State& state = context.state();
   const auto it = state.requests.entries.find(id);
   if (it != state.requests.entries.end()) {
@@ -124,9 +126,9 @@
   switch (claim.state) {
     case ClaimState::kRan:
     case ClaimState::kFailed:
-      EndWork(context, id,
-              Ran{.failed = claim.state == ClaimState::kFailed,
-                  .answer = claim.answer});
+      FinishUndispatched(context, id,
+                         Ran{.failed = claim.state == ClaimState::kFailed,
+                             .answer = claim.answer});
       return;
     case ClaimState::kAccepted: {
       Job* job = FindJob(context, id);
@@ -135,7 +137,7 @@
                        WorkAnswer{.id = claim.id, .verdict = Accepted{}});
         job->reply = 0;
       }
-      EndWork(context, id, Accepted{});
+      FinishUndispatched(context, id, Accepted{});
       return;
     }
     case ClaimState::kReleased:
@@ -143,25 +145,27 @@
     case ClaimState::kMayHaveRun:
       // Saying "not run" here would invite the caller to use another key while
       // the first request still runs.
-      EndWork(context, id,
-              MayHaveRun{.reason = Reason::kDuplicateKey,
-                         .detail = "a request with this key was taken earlier "
-                                   "and its outcome is not known"});
+      FinishUndispatched(
+          context, id,
+          MayHaveRun{.reason = Reason::kDuplicateKey,
+                     .detail = "a request with this key was taken earlier "
+                               "and its outcome is not known"});
       return;
   }
 }
 
-struct ClaimWanted {
+struct ClaimTarget {
   std::string id;
   std::string team;
   std::string key;
 };
 
 void RefuseUnrecorded(Context& context, const std::string& id) {
-  EndWork(context, id,
-          NotRun{.reason = Reason::kPlatformDown,
-                 .detail = "the idempotency key can't be recorded now",
-                 .retry_after = kPlatformRetryAfter});
+  FinishUndispatched(
+      context, id,
+      NotRun{.reason = Reason::kPlatformDown,
+             .detail = "the idempotency key can't be recorded now",
+             .retry_after = kPlatformRetryAfter});
 }
 
 void SetTicket(Context& context, const std::string& id, Ticket ticket) {
@@ -178,7 +182,7 @@
 }
 
 // Looks the key up in a shard that was read, and claims it when it is free.
-void LookUp(Context& context, const ClaimWanted& wanted) {
+void ClaimIfFree(Context& context, const ClaimTarget& wanted) {
   const std::string name = ShardOf(wanted.team, wanted.key);
   const std::string key = RecordKey(wanted.team, wanted.key);
   const SlotLog& log = *context.state().logs.at(name).log;
@@ -199,19 +203,20 @@
   SetTicket(context, wanted.id, ticket);
 }
 
-void BeginClaim(Context& context, const ClaimWanted& wanted) {
+void BeginClaim(Context& context, const ClaimTarget& wanted) {
   State& state = context.state();
   const std::string key = RecordKey(wanted.team, wanted.key);
   if (!state.claims.active.emplace(key, wanted.id).second) {
-    EndWork(context, wanted.id,
-            MayHaveRun{.reason = Reason::kDuplicateKey,
-                       .detail = "a request with this key is under way"});
+    FinishUndispatched(
+        context, wanted.id,
+        MayHaveRun{.reason = Reason::kDuplicateKey,
+                   .detail = "a request with this key is under way"});
     return;
   }
   const std::string name = ShardOf(wanted.team, wanted.key);
   const OpenLog& open = ShardLog(context, name);
   if (open.log->is_open()) {
-    LookUp(context, wanted);
+    ClaimIfFree(context, wanted);
     return;
   }
   if (!open.log->is_reachable()) {
@@ -222,11 +227,12 @@
   state.claims.waiting[name].push_back(wanted.id);
 }
 
-std::optional<ClaimWanted> WantedBy(Context& context, const std::string& id) {
+std::optional<ClaimTarget> FindClaimTarget(Context& context,
+                                           const std::string& id) {
   const auto& entries = context.state().requests.entries;
   const auto it = entries.find(id);
   if (it != entries.end()) {
-    return ClaimWanted{.id = id,
+    return ClaimTarget{.id = id,
                        .team = it->second.request.team,
                        .key = it->second.request.key};
   }
@@ -234,7 +240,7 @@
   if (job == nullptr) {
     return std::nullopt;
   }
-  return ClaimWanted{.id = id, .team = job->spec.team, .key = job->spec.key};
+  return ClaimTarget{.id = id, .team = job->spec.team, .key = job->spec.key};
 }
 
 }  // namespace
@@ -254,10 +260,11 @@
 std::optional<ClaimRecord> DecodeClaim(const std::string& text) {
   const auto parsed = ParseJson(text);
   const auto* value = std::get_if<Json::Value>(&parsed);
-  const bool is_claim =
-      value != nullptr && value->isArray() && value->size() == kClaimMembers &&
-      (*value)[0].isString() && (*value)[1].isString() &&
-      (*value)[2].isString() && (*value)[3].isInt64() && (*value)[4].isString();
+  const bool is_claim = value != nullptr && value->isArray() &&
+                        value->size() == kClaimElementCount &&
+                        (*value)[0].isString() && (*value)[1].isString() &&
+                        (*value)[2].isString() && (*value)[3].isInt64() &&
+                        (*value)[4].isString();
   if (!is_claim) {
     return std::nullopt;
   }
@@ -303,7 +310,7 @@
 void OnClaimAppended(Context& context,
                      const std::string& id,
                      AppendOutcome outcome) {
-  const auto wanted = WantedBy(context, id);
+  const auto wanted = FindClaimTarget(context, id);
   if (!wanted) {
     return;
   }
@@ -319,7 +326,7 @@
     return;
   }
   if (outcome == AppendOutcome::kDropped) {
-    LookUp(context, *wanted);  // another's claim came first
+    ClaimIfFree(context, *wanted);  // another's claim came first
     return;
   }
   if (outcome == AppendOutcome::kUnknown) {
@@ -341,12 +348,12 @@
   state.claims.waiting.erase(it);
   const bool is_open = state.logs.at(log).log->is_open();
   for (const std::string& id : ids) {
-    const auto wanted = WantedBy(context, id);
+    const auto wanted = FindClaimTarget(context, id);
     if (!wanted) {
       continue;
     }
     if (is_open) {
-      LookUp(context, *wanted);
+      ClaimIfFree(context, *wanted);
     } else {
       Deactivate(context, RecordKey(wanted->team, wanted->key), id);
       RefuseUnrecorded(context, id);
@@ -367,12 +374,13 @@
   }
   it->second.tickets.erase(ticket);
   LedgerProgress progress = it->second.log->GiveUp(ticket, context.now());
-  bool may_stand = false;
+  bool may_be_written = false;
   for (const TicketOutcome& outcome : progress.finished) {
-    may_stand = may_stand || outcome.outcome == AppendOutcome::kUnknown;
+    may_be_written =
+        may_be_written || outcome.outcome == AppendOutcome::kUnknown;
   }
   RunLedger(context, name, std::move(progress));
-  if (may_stand) {
+  if (may_be_written) {
     SettleClaim(context, team, key, id, ClaimState::kReleased, "");
   }
   Deactivate(context, RecordKey(team, key), id);
--- a/Source/scheduler/fair_queue.cc
+++ b/Source/scheduler/fair_queue.cc
@@ -8,8 +8,8 @@
 void FairQueue::Push(const std::string& team, double weight, std::string id) {
   auto [it, inserted] = teams_.try_emplace(team);
   if (inserted) {
-    it->second.virtual_time = served_;
-    ranks_.insert({.virtual_time = served_, .team = team});
+    it->second.virtual_time = virtual_now_;
+    ranks_.insert({.virtual_time = virtual_now_, .team = team});
   }
   it->second.weight = std::max(weight, 0.001);
   it->second.items.push_back(std::move(id));
@@ -26,7 +26,7 @@
   std::string id = std::move(team.items.front());
   team.items.pop_front();
   --size_;
-  served_ = rank.virtual_time;
+  virtual_now_ = rank.virtual_time;
   if (team.items.empty()) {
     teams_.erase(rank.team);
     return id;
--- a/Source/scheduler/fair_queue.h
+++ b/Source/scheduler/fair_queue.h
@@ -46,7 +46,7 @@
 
   std::map<std::string, Team> teams_;  // with items only
   std::set<Rank> ranks_;
-  double served_ = 0;
+  double virtual_now_ = 0;
   std::size_t size_ = 0;
 };
 
--- a/Source/scheduler/forwarding.cc
+++ b/Source/scheduler/forwarding.cc
@@ -12,21 +12,23 @@
 namespace {
 
 // A request with less time left than the way to a peer and back stays here.
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(5);
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
 
 std::int64_t FreeSlots(const Peer& peer, const std::string& service) {
   const auto lent = peer.lent.find(service);
-  const std::int64_t given = lent == peer.lent.end() ? 0 : lent->second;
+  const std::int64_t forwarded = lent == peer.lent.end() ? 0 : lent->second;
   for (const ServiceRoom& it : peer.digest.services) {
     if (it.service == service) {
-      return it.waiting > 0 ? 0 : it.free_slots - given;
+      return it.waiting > 0 ? 0 : it.free_slots - forwarded;
     }
   }
   return 0;
 }
 
 // The peer has said that it did not run the request.
-void TakeBack(Context& context, RequestEntry& entry, const NotRun& refusal) {
+void OnForwardRefused(Context& context,
+                      RequestEntry& entry,
+                      const NotRun& refusal) {
   entry.state = RequestState::kQueued;
   entry.peer.clear();
   const bool is_final = refusal.reason == Reason::kInvalid ||
@@ -83,7 +85,7 @@
                    RequestEntry& entry,
                    const std::string& peer) {
   const Duration left = entry.deadline - context.now();
-  if (entry.forwarded_once || left < kLeastTimeLeft) {
+  if (entry.forwarded_once || left < kMinTimeLeft) {
     return false;
   }
   entry.state = RequestState::kForwarded;
@@ -109,7 +111,7 @@
   RequestEntry& entry = it->second;
   if (const auto* refusal = std::get_if<NotRun>(&answer.answer.verdict)) {
     state.membership.peers.at(from).struck = true;
-    TakeBack(context, entry, *refusal);
+    OnForwardRefused(context, entry, *refusal);
     return;
   }
   entry.dispatched = true;
@@ -128,8 +130,9 @@
   if (peer != state.membership.peers.end()) {
     peer->second.struck = true;
   }
-  TakeBack(context, it->second,
-           {.reason = Reason::kOverloaded, .detail = "peer not reached"});
+  OnForwardRefused(
+      context, it->second,
+      {.reason = Reason::kOverloaded, .detail = "peer not reached"});
 }
 
 void FailForwarded(Context& context, const std::string& peer) {
--- a/Source/scheduler/health.cc
+++ b/Source/scheduler/health.cc
@@ -11,10 +11,10 @@
 
 constexpr std::uint32_t kMaxProbeShift = 5;
 constexpr int kOutlastFactor = 2;
-constexpr Duration kOutlastLeast = std::chrono::milliseconds(1);
-constexpr std::size_t kOutlastWorkers = 2;
+constexpr Duration kOutlastMargin = std::chrono::milliseconds(1);
+constexpr std::size_t kOutlastMinWorkers = 2;
 
-bool LooksBad(const Context& context, const WorkerHealth& health) {
+bool IsFailing(const Context& context, const WorkerHealth& health) {
   const HealthPolicy& policy = context.policy().health;
   std::set<std::string> failed_jobs;
   std::int64_t failures = 0;
@@ -32,7 +32,7 @@
 
 // Past the cap the cause is not in single workers: taking more of them out
 // would only take room from sound work.
-bool CapReached(const Context& context) {
+bool IsQuarantineCapReached(const Context& context) {
   const State& state = context.state();
   std::int64_t quarantined = 0;
   for (const auto& [id, worker] : state.ownership.workers) {
@@ -46,13 +46,13 @@
   return quarantined >= std::max<std::int64_t>(cap, 1);
 }
 
-Duration ProbeWait(const Context& context, const WorkerHealth& health) {
+Duration ProbeDelay(const Context& context, const WorkerHealth& health) {
   const std::uint32_t shift = std::min(health.quarantines, kMaxProbeShift);
   return context.policy().health.probe * (1U << shift);
 }
 
 void Quarantine(Context& context, WorkerRecord& worker) {
-  if (CapReached(context)) {
+  if (IsQuarantineCapReached(context)) {
     context.Log(EventNumber::kQuarantineCapReached,
                 {{"worker", worker.info.id}});
     return;
@@ -61,7 +61,7 @@
   worker.health.probing = false;
   context.Log(EventNumber::kWorkerQuarantined, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
-  context.After(ProbeWait(context, worker.health), TimerKind::kProbe,
+  context.After(ProbeDelay(context, worker.health), TimerKind::kProbe,
                 worker.info.id);
   ++worker.health.quarantines;
 }
@@ -88,11 +88,11 @@
                       booking->second.confirmed != Time(0) &&
                       booking->second.state == AttemptState::kRunning;
     if (runs && context.now() - booking->second.confirmed >=
-                    ran * kOutlastFactor + kOutlastLeast) {
+                    ran * kOutlastFactor + kOutlastMargin) {
       outlasting.insert(holder);
     }
   }
-  return outlasting.size() >= kOutlastWorkers
+  return outlasting.size() >= kOutlastMinWorkers
              ? attempt.job + "/" + std::to_string(attempt.task)
              : attempt.job;
 }
@@ -121,7 +121,7 @@
     UpdateOpen(context, worker);
     return;
   }
-  if (failed && !health.quarantined && LooksBad(context, health)) {
+  if (failed && !health.quarantined && IsFailing(context, health)) {
     Quarantine(context, worker);
   }
 }
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -20,13 +20,13 @@
 
 // A member of another domain gets every second digest at most: it is needed
 // there to forward by and not to own workers by.
-constexpr std::uint64_t kFarDigestEvery = 2;
+constexpr std::uint64_t kFarDigestInterval = 2;
 // In periods of membership.peer_silent.
-constexpr std::int64_t kLeastFarPatience = 2;
+constexpr std::int64_t kMinFarTimeoutFactor = 2;
 
 // A watcher whose platform is silent for longer hands the watch to a member
 // that still reaches it.
-constexpr Duration kWatcherPlatformAge = std::chrono::seconds(5);
+constexpr Duration kMaxWatcherPlatformAge = std::chrono::seconds(5);
 
 // A peer is asked for documents at most once in this time.
 constexpr Duration kPullInterval = std::chrono::milliseconds(300);
@@ -79,7 +79,7 @@
   }
   const bool full = state.membership.peers.size() <= kFullMeshPeers;
   std::map<std::string, std::vector<std::string>> others;
-  const bool far = digest.sequence % kFarDigestEvery == 0;
+  const bool far = digest.sequence % kFarDigestInterval == 0;
   for (const auto& [id, peer] : state.membership.peers) {
     const bool is_near = peer.domain == state.self.domain;
     if (is_near || (full && far)) {
@@ -90,7 +90,8 @@
   }
   for (const auto& [domain, ids] : others) {
     if (far) {
-      context.Send(ids[digest.sequence / kFarDigestEvery % ids.size()], digest);
+      context.Send(ids[digest.sequence / kFarDigestInterval % ids.size()],
+                   digest);
     }
   }
 }
@@ -114,15 +115,15 @@
   }
 }
 
-void ReviewPeers(Context& context) {
+void CheckPeers(Context& context) {
   State& state = context.state();
   const Duration limit = context.policy().membership.peer_silent;
-  const std::int64_t turns = FarDigestTurns(context);
+  const std::int64_t rotation = FarDigestTurns(context);
   for (auto& [id, peer] : state.membership.peers) {
     const bool is_far = peer.domain != state.self.domain;
-    const Duration patience =
-        is_far ? limit * std::max(turns, kLeastFarPatience) : limit;
-    if (peer.alive && context.now() - peer.last_heard > patience) {
+    const Duration timeout =
+        is_far ? limit * std::max(rotation, kMinFarTimeoutFactor) : limit;
+    if (peer.alive && context.now() - peer.last_heard > timeout) {
       peer.alive = false;
       context.Log(EventNumber::kPeerSilent, {{"peer", id}});
       OnPeerLost(context, id);
@@ -211,7 +212,7 @@
   if (context.now() - state.started >= policy.peer_silent) {
     state.membership.settled = true;
   }
-  ReviewPeers(context);
+  CheckPeers(context);
   RefuseUnservable(context);
   SendDigests(context);
   ReviewOwnership(context);
@@ -266,7 +267,7 @@
   peer.struck = false;
   YieldJournals(context, said.from, digest.logs);
   if (role_changed) {
-    ReviewPeers(context);
+    CheckPeers(context);
     ReviewOwnership(context);
   }
   const bool is_behind =
@@ -377,12 +378,12 @@
   const std::uint64_t own = StableHash("watcher", state.self.instance);
   const bool own_reaches =
       !state.platform_ever || state.platform_ok ||
-      context.now() - state.platform_seen < kWatcherPlatformAge;
+      context.now() - state.platform_seen < kMaxWatcherPlatformAge;
   for (const auto& [id, peer] : state.membership.peers) {
     if (!IsDomainPeer(context, peer) || peer.digest.draining) {
       continue;
     }
-    const bool peer_reaches = peer.digest.platform_age < kWatcherPlatformAge;
+    const bool peer_reaches = peer.digest.platform_age < kMaxWatcherPlatformAge;
     if (!peer_reaches) {
       continue;
     }
--- a/Source/scheduler/ownership.cc
+++ b/Source/scheduler/ownership.cc
@@ -13,7 +13,7 @@
 constexpr Duration kClaimTimeout = std::chrono::seconds(2);
 constexpr Duration kCommandTimeout = std::chrono::seconds(2);
 constexpr Duration kPollGrace = std::chrono::seconds(2);
-constexpr Duration kHandoverPatience = std::chrono::seconds(8);
+constexpr Duration kHandoverTimeout = std::chrono::seconds(8);
 // A run may take as long as its caller waits; a caller's deadline is bounded.
 constexpr Duration kRunTimeout = std::chrono::hours(1);
 
@@ -51,7 +51,7 @@
   if (worker.wanted_since == Time(0)) {
     worker.wanted_since = context.now();
   }
-  return context.now() - worker.wanted_since > kHandoverPatience;
+  return context.now() - worker.wanted_since > kHandoverTimeout;
 }
 
 void SendClaim(Context& context, WorkerRecord& worker) {
@@ -77,7 +77,7 @@
 }
 
 // True when the review is done with the worker.
-bool ReviewWorker(Context& context, WorkerRecord& worker) {
+bool CheckWorker(Context& context, WorkerRecord& worker) {
   State& state = context.state();
   if (worker.claim_in_flight) {
     return false;
@@ -140,7 +140,7 @@
   for (const std::string& id : pending) {
     const auto it = state.ownership.workers.find(id);
     if (it != state.ownership.workers.end() &&
-        !ReviewWorker(context, it->second)) {
+        !CheckWorker(context, it->second)) {
       state.ownership.pending.insert(id);
     }
   }
@@ -157,7 +157,7 @@
     SendClaim(context, record);
     return;
   }
-  if (!ReviewWorker(context, record)) {
+  if (!CheckWorker(context, record)) {
     state.ownership.pending.insert(worker);
   }
 }
@@ -328,9 +328,9 @@
   const LeasePolicy& lease = context.policy().lease;
   const Duration bound = lease.task_lease + lease.drift;
   if (worker.removed) {
-    const Time gone = worker.removed_at + kListLag + bound;
-    if (context.now() < gone) {
-      context.At(gone, TimerKind::kLeaseBound, id);
+    const Time lapsed_at = worker.removed_at + kListLag + bound;
+    if (context.now() < lapsed_at) {
+      context.At(lapsed_at, TimerKind::kLeaseBound, id);
       return;
     }
     EndAllAttempts(context, worker);
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Duration kFirstOffers = std::chrono::seconds(1);
+constexpr Duration kFirstOffersDelay = std::chrono::seconds(1);
 
 using TimerHandler = void (*)(Context&, const std::string&);
 
@@ -159,7 +159,8 @@
 };
 
 // Notes whether the platform answers, for the digests and the log.
-void NotePlatform(Context& context, const PlatformResult& result) {
+void UpdatePlatformReachability(Context& context,
+                                const PlatformResult& result) {
   State& state = context.state();
   const auto* lost = std::get_if<PlatformUnavailable>(&result);
   if (lost == nullptr) {
@@ -183,7 +184,7 @@
   void operator()(const ProcessStarted& /*event*/) const {
     context.state().started = context.now();
     StartMembership(context);
-    context.After(kFirstOffers, TimerKind::kOffers);
+    context.After(kFirstOffersDelay, TimerKind::kOffers);
     context.After(context.policy().membership.peer_silent,
                   TimerKind::kOrphanScan);
   }
@@ -217,7 +218,7 @@
     }
     const PlatformPurpose purpose = std::move(it->second);
     calls.erase(it);
-    NotePlatform(context, event.result);
+    UpdatePlatformReachability(context, event.result);
     std::visit(PlatformHandler{.context = context, .result = event.result},
                purpose);
   }
@@ -237,7 +238,7 @@
   }
 };
 
-void DropDeadLogs(State& state) {
+void EraseDroppedLogs(State& state) {
   for (const std::string& it : state.dead_logs) {
     state.logs.erase(it);
   }
@@ -276,7 +277,7 @@
   if (state.tasks.wanted) {
     PlaceTasks(context);
   }
-  DropDeadLogs(state);
+  EraseDroppedLogs(state);
   return effects;
 }
 
--- a/Source/scheduler/request_admission.cc
+++ b/Source/scheduler/request_admission.cc
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr Duration kForwardMemory = std::chrono::seconds(30);
-constexpr double kRunMargin = 4;
-constexpr double kLeastShare = 0.001;
-constexpr Duration kNotReadyRetry = std::chrono::seconds(1);
+constexpr Duration kForwardDuplicateWindow = std::chrono::seconds(30);
+constexpr double kRunMarginFactor = 4;
+constexpr double kMinSlotShare = 0.001;
+constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(1);
 
 double TeamWeight(const Context& context, const std::string& team) {
   const auto it = context.policy().teams.find(team);
@@ -37,18 +37,20 @@
     return Duration(0);
   }
   const std::size_t own = ClassOf(entry);
-  const double whole = static_cast<double>(slots) / queue.mean_run_us;
-  double above = 0;
+  const double service_rate = static_cast<double>(slots) / queue.mean_run_us;
+  double higher_rate = 0;
   std::size_t ahead = queue.classes[own].size() + 1;
   const double by_share =
       static_cast<double>(ahead) /
-      (whole * std::max(context.policy().urgency.batch_share, kLeastShare));
+      (service_rate *
+       std::max(context.policy().urgency.batch_share, kMinSlotShare));
   for (std::size_t it = 0; it < own; ++it) {
-    above += queue.taken[it].At(context.now());
+    higher_rate += queue.taken[it].At(context.now());
     ahead += queue.classes[it].size();
   }
-  const double rest = std::max(whole - above, whole * kLeastShare);
-  const double by_rank = static_cast<double>(ahead) / rest;
+  const double remaining_rate =
+      std::max(service_rate - higher_rate, service_rate * kMinSlotShare);
+  const double by_rank = static_cast<double>(ahead) / remaining_rate;
   // The slots may all have been taken in the same moment, so that none comes
   // free for a whole run.
   const double wait = queue.mean_run_us + std::min(by_rank, by_share);
@@ -59,16 +61,16 @@
 // after it, and most runs are not much longer than kRunMargin times the mean.
 // Half of what is left is kept for what the prediction doesn't know. A queue
 // so short keeps all slots busy, and who would wait longer hears it at once.
-Duration LongestWait(Context& context, const RequestEntry& entry) {
+Duration MaxAdmissibleWait(Context& context, const RequestEntry& entry) {
   const Duration left = entry.deadline - context.now();
   const Duration run(static_cast<Duration::rep>(
-      QueueOf(context, entry.request.service).mean_run_us * kRunMargin));
+      QueueOf(context, entry.request.service).mean_run_us * kRunMarginFactor));
   return (left - std::min(run, left / 2)) / 2;
 }
 
 // Drops the newest request of the least urgent class below this one, if the
 // queue is full. False when the queue is full of work at least as urgent.
-bool MakeRoom(Context& context, const RequestEntry& entry) {
+bool EnsureQueueSpace(Context& context, const RequestEntry& entry) {
   ServiceQueue& queue = QueueOf(context, entry.request.service);
   const auto limit = static_cast<std::size_t>(
       context.policy().admission.max_queue_per_service);
@@ -88,7 +90,7 @@
   return false;
 }
 
-bool OverTeamLimit(Context& context, const RequestEntry& entry) {
+bool IsOverTeamLimit(Context& context, const RequestEntry& entry) {
   const auto it = context.policy().teams.find(entry.request.team);
   if (it == context.policy().teams.end() || it->second.max_waiting <= 0) {
     return false;
@@ -116,19 +118,19 @@
 void QueueOrRefuse(Context& context, RequestEntry& entry) {
   const std::string id = entry.request.id;
   const Duration wait = PredictWait(context, entry);
-  if (wait > LongestWait(context, entry)) {
+  if (wait > MaxAdmissibleWait(context, entry)) {
     RefuseOverloaded(context, id, wait,
                      "the queue is longer than the deadline");
     return;
   }
-  if (OverTeamLimit(context, entry)) {
+  if (IsOverTeamLimit(context, entry)) {
     RefuseRequest(context, id,
                   {.reason = Reason::kQuota,
                    .detail = "the team has too many requests waiting",
                    .retry_after = RetryAfter(context, wait)});
     return;
   }
-  if (!MakeRoom(context, entry)) {
+  if (!EnsureQueueSpace(context, entry)) {
     RefuseOverloaded(context, id, wait, "the queue is full");
     return;
   }
@@ -136,7 +138,7 @@
 }
 
 // A minion is owned here that will take requests, if perhaps not now.
-bool HasMinion(const Context& context, const std::string& service) {
+bool HasUsableMinion(const Context& context, const std::string& service) {
   const auto& workers = context.state().ownership.workers;
   return std::any_of(workers.begin(), workers.end(), [&](const auto& it) {
     const WorkerRecord& worker = it.second;
@@ -150,7 +152,7 @@
 NotRun NotReady(const char* detail) {
   return {.reason = Reason::kNotReady,
           .detail = detail,
-          .retry_after = kNotReadyRetry};
+          .retry_after = kNotReadyRetryAfter};
 }
 
 // Why a request can't be taken at all; nothing when it can.
@@ -247,8 +249,8 @@
                      .deadline = context.now() + forward.request.deadline,
                      .forwarded_once = true};
   auto& taken = context.state().requests.taken_forwards;
-  const Time forget = entry.deadline + kForwardMemory;
-  if (!taken.emplace(entry.request.id, forget).second) {
+  const Time expiry = entry.deadline + kForwardDuplicateWindow;
+  if (!taken.emplace(entry.request.id, expiry).second) {
     return;  // doubled: the first one is or was answered
   }
   Accept(context, entry);
@@ -285,7 +287,7 @@
 
 void RefuseUnservable(Context& context) {
   for (auto& [service, queue] : context.state().requests.services) {
-    if (queue.size() == 0 || HasMinion(context, service)) {
+    if (queue.size() == 0 || HasUsableMinion(context, service)) {
       continue;
     }
     for (FairQueue& it : queue.classes) {
--- a/Source/scheduler/request_runs.cc
+++ b/Source/scheduler/request_runs.cc
@@ -12,7 +12,7 @@
 
 constexpr Resources kOneSlot{.slots = 1};
 // Weight of the newest run in the moving average.
-constexpr double kRunWeight = 0.05;
+constexpr double kNewestRunWeight = 0.05;
 constexpr double kMaxRetryTokens = 100;
 
 bool TakeRetryToken(Context& context) {
@@ -75,10 +75,10 @@
     ServiceQueue& queue = QueueOf(context, entry.request.service);
     const auto run =
         static_cast<double>((context.now() - entry.started).count());
-    queue.mean_run_us =
-        queue.mean_run_us == 0
-            ? run
-            : queue.mean_run_us * (1 - kRunWeight) + run * kRunWeight;
+    queue.mean_run_us = queue.mean_run_us == 0
+                            ? run
+                            : queue.mean_run_us * (1 - kNewestRunWeight) +
+                                  run * kNewestRunWeight;
     state.requests.retry_tokens = std::min(
         state.requests.retry_tokens + context.policy().retries.budget_ratio,
         kMaxRetryTokens);
@@ -128,9 +128,9 @@
   }
   RequestEntry& entry = it->second;
   const auto minion = state.ownership.workers.find(entry.minion);
-  const bool can_ask = minion != state.ownership.workers.end() &&
-                       IsSettled(context, minion->second);
-  if (!can_ask || !entry.request.idempotent || entry.answered) {
+  const bool can_verify = minion != state.ownership.workers.end() &&
+                          IsSettled(context, minion->second);
+  if (!can_verify || !entry.request.idempotent || entry.answered) {
     FinishRequest(context, id,
                   MayHaveRun{.reason = Reason::kConnectionLost,
                              .detail = "the minion's answer was lost"});
--- a/Source/scheduler/requests.cc
+++ b/Source/scheduler/requests.cc
@@ -43,9 +43,9 @@
 
 // What is left of the deadline is shorter than a usual run: a slot given to it
 // would most likely be wasted.
-bool IsDoomed(const Context& context,
-              const RequestEntry& entry,
-              const ServiceQueue& queue) {
+bool WillMissDeadline(const Context& context,
+                      const RequestEntry& entry,
+                      const ServiceQueue& queue) {
   const Duration run(static_cast<Duration::rep>(queue.mean_run_us));
   const bool had_time = entry.deadline - entry.arrived > run;
   return had_time && context.now() + run > entry.deadline;
@@ -65,7 +65,7 @@
     const auto which = NextClass(context, queue);
     const std::string id = *queue.classes[*which].Pop();
     RequestEntry& entry = state.requests.entries.at(id);
-    if (IsDoomed(context, entry, queue)) {
+    if (WillMissDeadline(context, entry, queue)) {
       RefuseRequest(context, id,
                     {.reason = Reason::kOverloaded,
                      .detail = "too little time is left for a run",
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Duration kFirstRounds = std::chrono::milliseconds(250);
-constexpr Duration kLaterRounds = std::chrono::seconds(2);
+constexpr Duration kFirstRoundInterval = std::chrono::milliseconds(250);
+constexpr Duration kLaterRoundInterval = std::chrono::seconds(2);
 constexpr std::uint64_t kFirstRoundCount = 20;
 // A round's number carries its search's generation, so that the answer to an
 // earlier search, before offers were fenced off, does not count for this one.
@@ -36,7 +36,7 @@
 }
 
 // This process is known to have owned the worker at some time after `since`.
-bool IsProven(const WorkerRecord& worker, Time since) {
+bool IsOwnershipVerified(const WorkerRecord& worker, Time since) {
   return IsOurs(worker) && !worker.removed && !worker.claim_in_flight &&
          worker.proven >= since;
 }
@@ -49,14 +49,14 @@
 
 // The platform has dropped the worker, and whoever still renewed it has had
 // time to see that.
-bool IsGone(const Context& context, const WorkerRecord& worker) {
+bool IsRemovedAndLapsed(const Context& context, const WorkerRecord& worker) {
   return worker.removed &&
          context.now() > worker.removed_at + kListLag + LeaseBound(context);
 }
 
 // Notes a search at its first round, and asks the owned workers to show that
 // they still are.
-Time NoteSearch(Context& context, const AttemptSearch& search) {
+Time RecordSearch(Context& context, const AttemptSearch& search) {
   State& state = context.state();
   SearchSeen& seen = state.searches_seen[search.log];
   if (seen.generation < search.generation) {
@@ -70,11 +70,11 @@
   return seen.at;
 }
 
-void GatherFound(const WorkerRecord& worker,
-                 bool is_proven,
-                 AttemptSearchAnswer& answer) {
+void AddKnownAttempts(const WorkerRecord& worker,
+                      bool is_verified,
+                      AttemptSearchAnswer& answer) {
   for (const auto& [attempt, booking] : worker.bookings) {
-    const bool is_known = is_proven || booking.state == AttemptState::kEnded;
+    const bool is_known = is_verified || booking.state == AttemptState::kEnded;
     if (!is_known || booking.is_request ||
         LogOfJob(attempt.job) != answer.log) {
       continue;
@@ -88,16 +88,17 @@
   }
 }
 
-AttemptSearchAnswer Gather(Context& context, const AttemptSearch& search) {
-  const Time since = NoteSearch(context, search);
+AttemptSearchAnswer MakeSearchAnswer(Context& context,
+                                     const AttemptSearch& search) {
+  const Time since = RecordSearch(context, search);
   AttemptSearchAnswer answer{.log = search.log, .round = search.round};
   for (const auto& [id, worker] : context.state().ownership.workers) {
     if (worker.info.role != InstanceRole::kWorker) {
       continue;
     }
-    const bool is_proven = IsProven(worker, since);
-    GatherFound(worker, is_proven, answer);
-    if (is_proven) {
+    const bool is_verified = IsOwnershipVerified(worker, since);
+    AddKnownAttempts(worker, is_verified, answer);
+    if (is_verified) {
       answer.covered.push_back(id);
     } else if (HasLapsed(context, worker)) {
       answer.lapsed.push_back(id);
@@ -111,33 +112,33 @@
 bool AllLapsed(const Context& context,
                const Search& search,
                const std::string& worker) {
-  const auto said = search.lapsed.find(worker);
-  if (said == search.lapsed.end()) {
+  const auto reports = search.lapsed.find(worker);
+  if (reports == search.lapsed.end()) {
     return false;
   }
   const State& state = context.state();
-  if (!said->second.contains(state.self.instance)) {
+  if (!reports->second.contains(state.self.instance)) {
     return false;
   }
-  const auto is_said = [&](const std::string& id) {
-    return id == state.self.instance || said->second.contains(id);
+  const auto has_reported = [&](const std::string& id) {
+    return id == state.self.instance || reports->second.contains(id);
   };
   for (const InstanceInfo& it : state.membership.instances.instances) {
     const bool is_member =
         it.role == InstanceRole::kEntry && it.domain == state.self.domain;
-    if (is_member && !is_said(it.id)) {
+    if (is_member && !has_reported(it.id)) {
       return false;
     }
   }
   const auto& peers = state.membership.peers;
   return std::all_of(peers.begin(), peers.end(), [&](const auto& it) {
-    return !IsDomainPeer(context, it.second) || is_said(it.first);
+    return !IsDomainPeer(context, it.second) || has_reported(it.first);
   });
 }
 
-void TakeFound(Context& context,
-               const std::string& owner,
-               const TaskUpdate& update) {
+void ApplyFoundAttempt(Context& context,
+                       const std::string& owner,
+                       const TaskUpdate& update) {
   const AttemptReport& report = update.report;
   if (report.state == AttemptState::kEnded) {
     OnAttemptEnded(context, report, update.worker, owner);
@@ -150,7 +151,7 @@
 bool IsCovered(const Context& context, const Search& search, const Task& task) {
   const auto covered = [&](const std::string& id, const WorkerRecord& worker) {
     return worker.info.role != InstanceRole::kWorker ||
-           search.covered.contains(id) || IsGone(context, worker) ||
+           search.covered.contains(id) || IsRemovedAndLapsed(context, worker) ||
            AllLapsed(context, search, id);
   };
   const auto& workers = context.state().ownership.workers;
@@ -163,7 +164,7 @@
   });
 }
 
-void LoseCovered(Context& context, const std::string& log) {
+void LoseCoveredAttempts(Context& context, const std::string& log) {
   const Search search = context.state().searches.at(log);
   struct Lost {
     std::string job;
@@ -196,7 +197,7 @@
 }
 
 // Adopted jobs whose attempts are all accounted for go on.
-bool SettleJobs(Context& context, const std::string& log) {
+bool ResumeSettledJobs(Context& context, const std::string& log) {
   bool all_settled = true;
   std::vector<std::string> ids;
   for (const auto& [id, job] : context.state().jobs.jobs) {
@@ -222,12 +223,12 @@
   return all_settled;
 }
 
-void TakeAnswer(Context& context,
-                const std::string& from,
-                const AttemptSearchAnswer& answer) {
+void ApplySearchAnswer(Context& context,
+                       const std::string& from,
+                       const AttemptSearchAnswer& answer) {
   State& state = context.state();
   for (const TaskUpdate& it : answer.found) {
-    TakeFound(context, from, it);
+    ApplyFoundAttempt(context, from, it);
   }
   const auto search = state.searches.find(answer.log);
   if (search == state.searches.end() ||
@@ -244,8 +245,8 @@
       running.lapsed[it].insert(from);
     }
   }
-  LoseCovered(context, answer.log);
-  if (SettleJobs(context, answer.log)) {
+  LoseCoveredAttempts(context, answer.log);
+  if (ResumeSettledJobs(context, answer.log)) {
     state.searches.erase(answer.log);
   }
 }
@@ -278,18 +279,19 @@
   const std::uint64_t round = search.round++;
   search.round_started = context.now();
   search.lapsed.clear();
-  const AttemptSearch ask{.log = log,
-                          .generation = search.generation,
-                          .round = (search.generation << kRoundBits) + round};
+  const AttemptSearch query{.log = log,
+                            .generation = search.generation,
+                            .round = (search.generation << kRoundBits) + round};
   for (const auto& [id, peer] : state.membership.peers) {
     if (IsDomainPeer(context, peer)) {
-      context.Send(id, ask);
+      context.Send(id, query);
     }
   }
   search.next_round =
-      context.now() + (round < kFirstRoundCount ? kFirstRounds : kLaterRounds);
+      context.now() +
+      (round < kFirstRoundCount ? kFirstRoundInterval : kLaterRoundInterval);
   context.At(search.next_round, TimerKind::kSearch, log);
-  TakeAnswer(context, context.self(), Gather(context, ask));
+  ApplySearchAnswer(context, context.self(), MakeSearchAnswer(context, query));
 }
 
 void OnAttemptSearch(Context& context,
@@ -307,14 +309,14 @@
     context.Log(EventNumber::kLogFenced, {{"log", search.log}, {"by", from}});
     ForgetJournal(context, search.log);
   }
-  context.Send(from, Gather(context, search));
+  context.Send(from, MakeSearchAnswer(context, search));
 }
 
 void OnAttemptSearchAnswer(Context& context,
                            const std::string& from,
                            const AttemptSearchAnswer& answer) {
   if (context.state().jobs.journals.contains(answer.log)) {
-    TakeAnswer(context, from, answer);
+    ApplySearchAnswer(context, from, answer);
   }
 }
 
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr Duration kAskRetryAfter = std::chrono::seconds(2);
-constexpr Duration kAskPatience = std::chrono::seconds(2);
+constexpr Duration kQueryRetryAfter = std::chrono::seconds(2);
+constexpr Duration kQueryTimeout = std::chrono::seconds(2);
 
 void AnswerNotFound(Context& context, ReplyId reply, const std::string& id) {
   context.Answer(
@@ -31,18 +31,18 @@
                                    .detail = "the entry instance that writes "
                                              "the job's journal is not known; "
                                              "ask again",
-                                   .retry_after = kAskRetryAfter}});
+                                   .retry_after = kQueryRetryAfter}});
 }
 
-void AskWriter(Context& context,
-               const WorkAsked& asked,
-               const std::string& writer) {
+void QueryWriter(Context& context,
+                 const WorkAsked& asked,
+                 const std::string& writer) {
   Jobs& jobs = context.state().jobs;
   const std::uint64_t ask = jobs.next_ask++;
   jobs.asks.emplace(ask, OpenAsk{.reply = asked.reply,
                                  .id = asked.id,
                                  .cancel = asked.cancel,
-                                 .until = context.now() + kAskPatience});
+                                 .until = context.now() + kQueryTimeout});
   context.Send(writer,
                AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
 }
@@ -76,7 +76,7 @@
     AnswerNotFound(context, asked.reply, asked.id);
     return;
   }
-  AskWriter(context, asked, writer);
+  QueryWriter(context, asked, writer);
 }
 
 void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
@@ -113,7 +113,7 @@
                              .detail =
                                  "the writer of the job's journal does "
                                  "not answer; ask again",
-                             .retry_after = kAskRetryAfter};
+                             .retry_after = kQueryRetryAfter};
     if (ask.cancel) {
       verdict = MayHaveRun{.reason = Reason::kOwnerLost,
                            .detail =
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr Duration kRetryRenew = std::chrono::milliseconds(500);
-constexpr Duration kQuiet = std::chrono::seconds(5);
-constexpr std::uint32_t kMaxDeposedShift = 6;
+constexpr Duration kRenewRetryDelay = std::chrono::milliseconds(500);
+constexpr Duration kClaimBackoff = std::chrono::seconds(5);
+constexpr std::uint32_t kMaxClaimBackoffShift = 6;
 
 using AttemptSet = std::unordered_set<AttemptId, AttemptIdHash>;
 
@@ -30,12 +30,12 @@
   return OwnerName(self.instance, self.incarnation);
 }
 
-void NoteAnswer(Context& context, WorkerRecord& worker) {
+void RecordAnswer(Context& context, WorkerRecord& worker) {
   worker.last_answer = context.now();
-  const bool was_shut = worker.silent || worker.suspect;
+  const bool was_closed = worker.silent || worker.suspect;
   worker.silent = false;
   worker.suspect = false;
-  if (was_shut) {
+  if (was_closed) {
     UpdateOpen(context, worker);
   }
   // The renewals stopped when the worker fell silent; any answer starts them
@@ -76,7 +76,7 @@
     return;
   }
   Booking& booking = it->second;
-  const bool news = booking.state != report.state;
+  const bool has_changed = booking.state != report.state;
   if (booking.confirmed == Time(0)) {
     booking.confirmed = context.now();
   }
@@ -84,7 +84,7 @@
   if (booking.uncertain && !booking.is_request) {
     booking.uncertain = false;
     OnStartDone(context, worker, report.attempt);
-  } else if (news && !booking.is_request) {
+  } else if (has_changed && !booking.is_request) {
     TellWriter(context, worker, booking);
   }
 }
@@ -190,7 +190,7 @@
   worker.proven = purpose.sent;
   ++context.state().counters.claims;
   TakeOwnership(context, worker, accepted.capacity);
-  NoteAnswer(context, worker);
+  RecordAnswer(context, worker);
   ApplyReports(context, worker, accepted.attempts, context.now(), true);
   UpdateOpen(context, worker);
   context.At(context.now(), TimerKind::kRenew, worker.info.id);
@@ -209,8 +209,8 @@
   worker.epoch = stale.epoch;
   worker.owner = stale.owner;
   if (!was_offered) {
-    worker.deposed = std::min(worker.deposed + 1, kMaxDeposedShift);
-    worker.quiet_until = context.now() + kQuiet * (1U << worker.deposed);
+    worker.deposed = std::min(worker.deposed + 1, kMaxClaimBackoffShift);
+    worker.quiet_until = context.now() + kClaimBackoff * (1U << worker.deposed);
   }
   ReleaseWorker(context, worker);
 }
@@ -274,7 +274,7 @@
   UpdateOpen(context, worker);
 }
 
-void OnSilence(Context& context, WorkerRecord& worker) {
+void OnUnresponsive(Context& context, WorkerRecord& worker) {
   worker.silent = true;
   context.Log(EventNumber::kWorkerSilent, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
@@ -283,7 +283,7 @@
   const LeasePolicy& lease = context.policy().lease;
   context.At(worker.lease_sent + lease.task_lease + lease.drift,
              TimerKind::kLeaseBound, worker.info.id);
-  context.After(kRetryRenew, TimerKind::kClaim, worker.info.id);
+  context.After(kRenewRetryDelay, TimerKind::kClaim, worker.info.id);
 }
 
 void OnRenewAnswer(Context& context,
@@ -292,7 +292,7 @@
                    const RenewPurpose& purpose,
                    const WorkerResult& result) {
   if (const auto* done = std::get_if<RenewDone>(&result)) {
-    NoteAnswer(context, worker);
+    RecordAnswer(context, worker);
     if (purpose_epoch == worker.epoch) {
       worker.proven = std::max(worker.proven, purpose.sent);
     }
@@ -310,13 +310,13 @@
   }
   worker.suspect = true;
   UpdateOpen(context, worker);
-  const Duration quiet = context.now() - worker.last_answer;
-  if (!worker.silent && quiet > context.policy().lease.worker_silent) {
-    OnSilence(context, worker);
+  const Duration since_answer = context.now() - worker.last_answer;
+  if (!worker.silent && since_answer > context.policy().lease.worker_silent) {
+    OnUnresponsive(context, worker);
     return;
   }
   if (purpose.is_poll) {
-    context.After(context.Jitter(kRetryRenew), TimerKind::kRenew,
+    context.After(context.Jitter(kRenewRetryDelay), TimerKind::kRenew,
                   worker.info.id);
   }
 }
@@ -331,7 +331,7 @@
   }
   Booking& booking = it->second;
   if (std::holds_alternative<StartDone>(result)) {
-    NoteAnswer(context, worker);
+    RecordAnswer(context, worker);
     booking.confirmed = context.now();
     OnStartDone(context, worker, attempt);
     return;
--- a/Tests/scheduler/claim_failure_test.cc
+++ b/Tests/scheduler/claim_failure_test.cc
@@ -20,7 +20,7 @@
 
 enum class Fault { kPause, kKill, kCutFromPlatform };
 
-void Strike(EntryGroup& group, const std::string& entry, Fault fault) {
+void InjectFault(EntryGroup& group, const std::string& entry, Fault fault) {
   switch (fault) {
     case Fault::kPause:
       group.Pause(entry);
@@ -34,7 +34,7 @@
   }
 }
 
-void Heal(EntryGroup& group, const std::string& entry, Fault fault) {
+void ClearFault(EntryGroup& group, const std::string& entry, Fault fault) {
   switch (fault) {
     case Fault::kPause:
       group.Resume(entry);
@@ -60,7 +60,7 @@
   return not_run == nullptr ? Reason::kNone : not_run->reason;
 }
 
-bool MayHaveRunSaid(const EntryGroup& group, ReplyId reply) {
+bool IsMayHaveRun(const EntryGroup& group, ReplyId reply) {
   const auto verdict = group.VerdictOf(reply);
   return verdict && std::holds_alternative<MayHaveRun>(*verdict);
 }
@@ -86,13 +86,13 @@
       REQUIRE(Settle(group));
       group.Submit("d0-e0", PermitRequest("p1"));
       group.Run(milliseconds(moment));
-      Strike(group, "d0-e0", fault);
+      InjectFault(group, "d0-e0", fault);
       const ReplyId second = group.Submit("d0-e1", PermitRequest("p1"));
       CHECK(RunUntilAnswered(group, second));
       group.Run(seconds(4));
       const ReplyId third = group.Submit("d0-e2", PermitRequest("p1"));
       CHECK(RunUntilAnswered(group, third));
-      Heal(group, "d0-e0", fault);
+      ClearFault(group, "d0-e0", fault);
       group.Run(seconds(4));
       const ReplyId last = group.Submit("d0-e0", PermitRequest("p1"));
       CHECK(RunUntilAnswered(group, last));
@@ -126,7 +126,7 @@
       const bool has_run =
           group.VerdictOf(it) == Verdict(Ran{.answer = "permit"});
       ran += has_run ? 1 : 0;
-      CHECK((has_run || MayHaveRunSaid(group, it)));
+      CHECK((has_run || IsMayHaveRun(group, it)));
     }
     CHECK(ran >= 1);
     CHECK(group.recorder().ExecutionsOf("p1") == 1);
@@ -216,10 +216,10 @@
                             .call = run,
                             .result = WorkerUnreachable{.message = "closed"}});
   REQUIRE(RunUntilAnswered(group, first));
-  CHECK(MayHaveRunSaid(group, first));
+  CHECK(IsMayHaveRun(group, first));
   const ReplyId retry = group.Submit("d0-e1", PermitRequest("p1"));
   REQUIRE(RunUntilAnswered(group, retry));
-  CHECK(MayHaveRunSaid(group, retry));
+  CHECK(IsMayHaveRun(group, retry));
   group.Run(seconds(3));
   CHECK(group.recorder().ExecutionsOf("p1") == 1);
   CHECK(group.Violations() == "");
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -105,14 +105,14 @@
     request.deadline = milliseconds(400);
     replies.push_back(asked.Submit("d0-e0", key, request));
   }
-  const Time asked_at = group.now();
+  const Time submitted_at = group.now();
   CHECK(group.state("d0-e0").counters.forwards > 0);
   group.Run(milliseconds(400));
   for (const ReplyId it : replies) {
     const auto verdict = group.VerdictOf(it);
     REQUIRE(verdict);
     CHECK(std::holds_alternative<MayHaveRun>(*verdict));
-    CHECK(*group.AnsweredAt(it) <= asked_at + milliseconds(400));
+    CHECK(*group.AnsweredAt(it) <= submitted_at + milliseconds(400));
   }
   group.Run(seconds(2));
   asked.Submit("d0-e0", "b", 10);
@@ -272,17 +272,17 @@
   // 8 slots of 20 ms are 400 requests a second; 1600 come for 3 seconds.
   constexpr int kRequests = 4800;
   constexpr Duration kGap = std::chrono::microseconds(625);
-  std::vector<std::pair<ReplyId, Time>> asked;
+  std::vector<std::pair<ReplyId, Time>> submitted;
   for (int it = 0; it < kRequests; ++it) {
     Request request = DeskRequest("sleep_ms=20;answer=x");
     request.deadline = milliseconds(300);
-    asked.emplace_back(group.Submit("d0-e0", request), group.now());
+    submitted.emplace_back(group.Submit("d0-e0", request), group.now());
     group.Run(kGap);
   }
   group.Run(seconds(1));
   int ran = 0;
   int late = 0;
-  for (const auto& [reply, at] : asked) {
+  for (const auto& [reply, at] : submitted) {
     const auto verdict = group.VerdictOf(reply);
     REQUIRE(verdict);
     if (const auto* refused = std::get_if<NotRun>(&*verdict)) {
--- a/Tests/scheduler/worker_failure_test.cc
+++ b/Tests/scheduler/worker_failure_test.cc
@@ -304,10 +304,10 @@
   }
   const auto quarantined = group.LinesOf(EventNumber::kWorkerQuarantined);
   REQUIRE(!quarantined.empty());
-  const std::size_t drawn = group.worker("d0-w2").executions().size();
-  MESSAGE("starts drawn by the black hole: " << drawn << " of "
+  const std::size_t starts = group.worker("d0-w2").executions().size();
+  MESSAGE("starts drawn by the black hole: " << starts << " of "
                                              << group.recorder().executions());
-  CHECK(drawn <= group.recorder().executions() / 10);
+  CHECK(starts <= group.recorder().executions() / 10);
   CHECK(group.Violations() == "");
 }
 
