--- a/Source/scheduler/calls.h
+++ b/Source/scheduler/calls.h
@@ -1,4 +1,4 @@
-// Outstanding calls to the platform and to workers, and what each was for.
+// Outstanding calls to the platform and to workers, each with its purpose.
 #ifndef BURDOCKROCK_SCHEDULER_CALLS_H_
 #define BURDOCKROCK_SCHEDULER_CALLS_H_
 
@@ -18,7 +18,8 @@
 struct ConfigWatchPurpose {};
 struct InstancesWatchPurpose {};
 
-// An operator's change; `document` settles a lost answer by comparison.
+// An operator's change of the configuration. If the answer to the write is
+// lost, `document` is compared with what is read back.
 struct ConfigWritePurpose {
   ReplyId reply = 0;
   Revision expect = 0;
@@ -45,7 +46,7 @@
 
 struct RenewPurpose {
   Time sent{0};
-  bool is_poll = false;  // the one call that waits at the worker
+  bool is_poll = false;  // the long poll, of which there is one per worker
 };
 
 struct StartPurpose {
@@ -64,12 +65,12 @@
 
 struct WorkerPurpose {
   std::string worker;
-  Epoch epoch = 0;  // that the command carried
+  Epoch epoch = 0;  // the epoch carried by the command
   WorkerPurposeBody body;
 };
 
-// Answers are matched by call, so that a late or doubled one reaches its own
-// request or nobody.
+// Answers are matched by call id, so that a late or duplicate answer is either
+// applied to its own call or dropped.
 struct Calls {
   CallId next = 1;
   std::unordered_map<CallId, PlatformPurpose> platform;
--- a/Source/scheduler/claims.cc
+++ b/Source/scheduler/claims.cc
@@ -18,7 +18,7 @@
 constexpr char kClaimLogPrefix[] = "claims.";
 constexpr char kClaimKind[] = "claim";
 constexpr Duration kPlatformRetryAfter = std::chrono::seconds(2);
-// A longer answer is not kept; a retry is then told that the request ran.
+// A longer answer is not stored: a retry is then answered "ran" without it.
 constexpr std::size_t kMaxClaimAnswerBytes = 4096;
 
 // id, writer, state, wall_ms, answer
@@ -40,7 +40,7 @@
   return OwnerName(self.instance, self.incarnation);
 }
 
-// A pending record may still be written although another stands for its key.
+// Whether a pending record may be written over the current one of its key.
 bool MayReplace(const LogRecord& pending, const LogRecord* current) {
   if (current == nullptr) {
     return true;
@@ -95,7 +95,8 @@
   return {.key = key, .kind = kClaimKind, .body = EncodeClaim(claim)};
 }
 
-// Answers the request or job with a verdict that another one's claim gives.
+// Finishes a request or job that was not dispatched, as its key is not its own
+// or can't be claimed.
 void FinishUndispatched(Context& context,
                         const std::string& id,
                         Verdict verdict) {
@@ -119,7 +120,7 @@
   }
 }
 
-// What a retry is told that finds its key claimed.
+// Answers a retry whose key is claimed already.
 void AnswerFromClaim(Context& context,
                      const std::string& id,
                      const ClaimRecord& claim) {
@@ -143,7 +144,7 @@
     case ClaimState::kReleased:
     case ClaimState::kClaimed:
     case ClaimState::kMayHaveRun:
-      // Saying "not run" here would invite the caller to use another key while
+      // After "not run" the caller might send the work under another key while
       // the first request still runs.
       FinishUndispatched(
           context, id,
@@ -154,8 +155,9 @@
   }
 }
 
+// The key that a request or job claims.
 struct ClaimTarget {
-  std::string id;
+  std::string id;  // of the request or job
   std::string team;
   std::string key;
 };
@@ -181,7 +183,7 @@
   }
 }
 
-// Looks the key up in a shard that was read, and claims it when it is free.
+// Looks the key up in a shard that was read, and claims it if it is free.
 void ClaimIfFree(Context& context, const ClaimTarget& wanted) {
   const std::string name = ShardOf(wanted.team, wanted.key);
   const std::string key = RecordKey(wanted.team, wanted.key);
@@ -246,8 +248,8 @@
 }  // namespace
 
 std::string EncodeClaim(const ClaimRecord& claim) {
-  // An array: its text stands in two more layers of JSON, where each quote of
-  // a member's name would be written three times as long.
+  // An array, as its text is embedded in two more layers of JSON, in which each
+  // quote of a member name would be escaped to three times its length.
   Json::Value value(Json::arrayValue);
   value.append(claim.id);
   value.append(claim.writer);
@@ -326,11 +328,11 @@
     return;
   }
   if (outcome == AppendOutcome::kDropped) {
-    ClaimIfFree(context, *wanted);  // another's claim came first
+    ClaimIfFree(context, *wanted);  // another claim was written first
     return;
   }
   if (outcome == AppendOutcome::kUnknown) {
-    // It was not dispatched and will not be, but the claim may stand.
+    // The work will not be dispatched, but its claim may have been written.
     SettleClaim(context, wanted->team, wanted->key, id, ClaimState::kReleased,
                 "");
   }
--- a/Source/scheduler/claims.h
+++ b/Source/scheduler/claims.h
@@ -3,8 +3,8 @@
 //
 // The claim of a key is durable in one of kClaimShards logs before the first
 // dispatch. Several entry instances append to a shard; the platform's
-// compare-and-swap orders them, and who finds the key claimed by another does
-// not dispatch.
+// compare-and-swap orders their writes, and an instance that finds the key
+// claimed by another does not dispatch.
 #ifndef BURDOCKROCK_SCHEDULER_CLAIMS_H_
 #define BURDOCKROCK_SCHEDULER_CLAIMS_H_
 
@@ -23,16 +23,16 @@
 struct RequestEntry;
 struct Job;
 
-// The same for all processes of a deployment for its whole life: a key is
-// looked for in one shard only.
+// Must never change within a deployment, as a key is looked up in one shard
+// only.
 inline constexpr std::uint32_t kClaimShards = 8;
 
 enum class ClaimState {
   kClaimed,     // dispatched, or about to be
   kReleased,    // known not to have been dispatched; may be claimed again
-  kRan,         // `answer` is what it answered
-  kFailed,      // it ran and failed
-  kMayHaveRun,  // the outcome is lost
+  kRan,         // succeeded with `answer`
+  kFailed,      // ran and failed
+  kMayHaveRun,  // the outcome is unknown
   kAccepted,    // a job, recorded in its journal
 };
 
@@ -41,28 +41,30 @@
   std::string writer;  // instance and incarnation
   ClaimState state = ClaimState::kClaimed;
   std::string answer;
-  std::int64_t wall_ms = 0;  // when it was written, milliseconds since 1970
+  std::int64_t wall_ms = 0;  // time of the write, milliseconds since 1970
 
   auto operator<=>(const ClaimRecord&) const = default;
 };
 
+// The stored form of a claim; DecodeClaim returns nullopt for a malformed text.
 std::string EncodeClaim(const ClaimRecord& claim);
 std::optional<ClaimRecord> DecodeClaim(const std::string& text);
 
-// Keys that this process is recording or has work for.
+// Keys that this process is claiming or has unfinished work for.
 struct Claims {
   std::map<std::string, std::string> active;  // by record key; value: work id
   // Requests and jobs that wait for a shard to be read, by log.
   std::map<std::string, std::vector<std::string>> waiting;
 };
 
-// Records the key of a request or job. It goes on with AdmitRequest or
-// OnJobClaimed, or ends with the verdict that is due.
+// Claims the key of a request or job. Continues with AdmitRequest or
+// OnJobClaimed if the key is free; else finishes the request or job with the
+// verdict that follows from the existing claim.
 void ClaimKeyOfRequest(Context& context, RequestEntry& entry);
 void ClaimKeyOfJob(Context& context, Job& job);
 
-// Writes what became of a claimed request or job. Not waited for: a retry that
-// comes before it is told that the request may have run.
+// Writes the outcome of a claimed request or job. Nothing waits for the write:
+// a retry that arrives before it is durable is answered "may have run".
 void SettleClaim(Context& context,
                  const std::string& team,
                  const std::string& key,
@@ -70,16 +72,16 @@
                  ClaimState state,
                  const std::string& answer);
 
-// A claim's append has ended.
+// The append of a claim has completed.
 void OnClaimAppended(Context& context,
                      const std::string& id,
                      AppendOutcome outcome);
 
-// A shard has been read, or can't be: what waited for it is looked up or
-// refused.
+// A shard has been read or is unreachable: looks up or refuses the requests and
+// jobs that wait for it.
 void OnClaimShardRead(Context& context, const std::string& log);
 
-// Gives up an append that is under way for work that will not be dispatched.
+// Abandons the pending append for a request or job that will not be dispatched.
 void GiveUpClaim(Context& context,
                  const std::string& team,
                  const std::string& key,
--- a/Source/scheduler/context.h
+++ b/Source/scheduler/context.h
@@ -1,5 +1,5 @@
-// What a handler of the reducer works with: the state, the time of the event,
-// and the effects so far.
+// The arguments of a handler of the reducer: the state, the time of the event,
+// and the effects collected so far.
 #ifndef BURDOCKROCK_SCHEDULER_CONTEXT_H_
 #define BURDOCKROCK_SCHEDULER_CONTEXT_H_
 
@@ -24,11 +24,13 @@
   const std::string& self() const { return state_.self.instance; }
 
   void Log(EventNumber number, std::vector<LogField> fields);
+  // Does nothing if `reply` is 0.
   void Answer(ReplyId reply, CallerAnswer answer);
 
-  // Nothing is sent to a peer whose address is not known.
+  // Does nothing if the address of the peer is unknown.
   void Send(const std::string& peer, PeerMessage message);
 
+  // Each registers an outstanding call and returns its id.
   CallId CallPlatform(PlatformOperation operation,
                       Duration timeout,
                       PlatformPurpose purpose);
@@ -38,13 +40,14 @@
                     Duration timeout,
                     WorkerPurpose purpose);
 
+  // Set a timer; `id` names its worker, job, request or log, see TimerKind.
   void At(Time at, TimerKind kind, std::string id = "");
   void After(Duration wait, TimerKind kind, std::string id = "");
   void Emit(Effect effect) { effects_.push_back(std::move(effect)); }
 
   // Uniform in [0, 1).
   double Random();
-  // Between half of `duration` and the whole of it.
+  // Uniform between half of `duration` and `duration`.
   Duration Jitter(Duration duration);
 
  private:
@@ -53,7 +56,7 @@
   Effects& effects_;
 };
 
-// A hash that is the same in every process.
+// A hash with the same value in every process.
 std::uint64_t StableHash(std::string_view first, std::string_view second);
 
 }  // namespace burdockrock
--- a/Source/scheduler/decaying_rate.h
+++ b/Source/scheduler/decaying_rate.h
@@ -1,4 +1,4 @@
-// A rate of events that forgets what is long past.
+// An exponentially decaying rate of events.
 #ifndef BURDOCKROCK_SCHEDULER_DECAYING_RATE_H_
 #define BURDOCKROCK_SCHEDULER_DECAYING_RATE_H_
 
@@ -6,11 +6,12 @@
 
 namespace burdockrock {
 
-// Each event counts with a weight that falls by a factor of e in kMemory.
+// The weight of each event decreases by a factor of e per kMemory.
 class DecayingRate {
  public:
   static constexpr Duration kMemory = std::chrono::seconds(1);
 
+  // Counts one event.
   void Note(Time now);
 
   // Events per microsecond.
--- a/Source/scheduler/effect.h
+++ b/Source/scheduler/effect.h
@@ -1,4 +1,4 @@
-// What the reducer wants done, as data. The runtime carries these out.
+// The output effects of the reducer; the runtime executes them.
 #ifndef BURDOCKROCK_SCHEDULER_EFFECT_H_
 #define BURDOCKROCK_SCHEDULER_EFFECT_H_
 
@@ -22,7 +22,7 @@
   bool operator==(const AnswerCaller&) const = default;
 };
 
-// Answered by PlatformAnswered with the same call, also when `timeout` passes.
+// Completed by a PlatformAnswered with the same `call`, also after `timeout`.
 struct CallPlatform {
   CallId call = 0;
   PlatformOperation operation;
@@ -30,7 +30,7 @@
   bool operator==(const CallPlatform&) const = default;
 };
 
-// Answered by WorkerAnswered with the same call, also when `timeout` passes.
+// Completed by a WorkerAnswered with the same `call`, also after `timeout`.
 struct CallWorker {
   CallId call = 0;
   std::string worker;   // id of a worker or minion
@@ -52,7 +52,8 @@
   bool operator==(const WriteLog&) const = default;
 };
 
-// A request or task began to run; feeds the waiting-time metric.
+// A request or task was started after waiting for `waited`; feeds the
+// waiting-time metric.
 struct WaitingMeasured {
   Urgency urgency = Urgency::kNormal;
   bool is_request = true;
@@ -60,7 +61,7 @@
   bool operator==(const WaitingMeasured&) const = default;
 };
 
-// The planned stop is complete.
+// The drain is complete and the process may exit.
 struct StopProcess {
   bool operator==(const StopProcess&) const = default;
 };
--- a/Source/scheduler/event.h
+++ b/Source/scheduler/event.h
@@ -1,5 +1,5 @@
-// Everything that can happen to an entry instance, as data. The runtime turns
-// what arrives at sockets and timers into these; the reducer sees nothing else.
+// The input events of the reducer. The runtime converts socket and timer
+// activity into these; the reducer has no other input.
 #ifndef BURDOCKROCK_SCHEDULER_EVENT_H_
 #define BURDOCKROCK_SCHEDULER_EVENT_H_
 
@@ -16,26 +16,26 @@
 
 namespace burdockrock {
 
-// Names a caller's connection that waits for an answer; chosen by the runtime.
+// Identifies a pending reply to a caller; assigned by the runtime.
 using ReplyId = std::uint64_t;
 
-// Names an outstanding call to the platform, a worker or minion; chosen by the
-// reducer.
+// Identifies an outstanding call to the platform, a worker or a minion;
+// assigned by the reducer.
 using CallId = std::uint64_t;
 
-// The first event of a process, exactly once.
+// The first event of a process; occurs exactly once.
 struct ProcessStarted {
   auto operator<=>(const ProcessStarted&) const = default;
 };
 
-// The time that NextTime() gave has come.
+// The time returned by NextTime() has been reached.
 struct TimerFired {
   auto operator<=>(const TimerFired&) const = default;
 };
 
 struct RequestArrived {
   ReplyId reply = 0;
-  Request request;  // with an empty id the reducer makes one
+  Request request;  // the reducer assigns an id if it is empty
   auto operator<=>(const RequestArrived&) const = default;
 };
 
@@ -45,7 +45,7 @@
   auto operator<=>(const JobArrived&) const = default;
 };
 
-// Status of a job or request, or its cancellation.
+// A caller queries the status of a job or request, or cancels it.
 struct WorkAsked {
   ReplyId reply = 0;
   std::string id;
@@ -53,7 +53,7 @@
   auto operator<=>(const WorkAsked&) const = default;
 };
 
-// The caller closed its connection before the answer.
+// The caller closed its connection before it was answered.
 struct CallerGone {
   ReplyId reply = 0;
   auto operator<=>(const CallerGone&) const = default;
@@ -64,7 +64,8 @@
   auto operator<=>(const ConfigAsked&) const = default;
 };
 
-// A new policy document to store if the one in force has revision `expect`.
+// A new policy document, to be stored only if the current one has revision
+// `expect`.
 struct ConfigProposed {
   ReplyId reply = 0;
   Revision expect = 0;
@@ -73,7 +74,7 @@
 };
 
 struct DrainAsked {
-  ReplyId reply = 0;  // 0: asked by a signal
+  ReplyId reply = 0;  // 0: requested by a signal
   auto operator<=>(const DrainAsked&) const = default;
 };
 
@@ -97,8 +98,8 @@
   auto operator<=>(const PeerSaid&) const = default;
 };
 
-// A message to a peer is known not to have been received. Messages lost in any
-// other way are not reported.
+// A message is known not to have reached its peer, e.g. because the connection
+// was refused. Messages lost in any other way are not reported.
 struct PeerNotReached {
   std::string peer;
   PeerMessage message;
--- a/Source/scheduler/fair_queue.cc
+++ b/Source/scheduler/fair_queue.cc
@@ -5,13 +5,19 @@
 
 namespace burdockrock {
 
+namespace {
+
+constexpr double kMinWeight = 0.001;
+
+}  // namespace
+
 void FairQueue::Push(const std::string& team, double weight, std::string id) {
   auto [it, inserted] = teams_.try_emplace(team);
   if (inserted) {
     it->second.virtual_time = virtual_now_;
     ranks_.insert({.virtual_time = virtual_now_, .team = team});
   }
-  it->second.weight = std::max(weight, 0.001);
+  it->second.weight = std::max(weight, kMinWeight);
   it->second.items.push_back(std::move(id));
   ++size_;
 }
--- a/Source/scheduler/fair_queue.h
+++ b/Source/scheduler/fair_queue.h
@@ -1,4 +1,4 @@
-// A queue that serves teams by weight.
+// A weighted fair queue over teams.
 #ifndef BURDOCKROCK_SCHEDULER_FAIR_QUEUE_H_
 #define BURDOCKROCK_SCHEDULER_FAIR_QUEUE_H_
 
@@ -11,18 +11,19 @@
 
 namespace burdockrock {
 
-// Start-time fair queueing: each team has a virtual time that rises by
-// 1 / weight with each item served; the team with the lowest goes first. A
-// team that was idle starts at the virtual time of the last served, so that
-// it can't save up a burst. Within a team first in, first out.
+// Start-time fair queueing: each team has a virtual time that advances by
+// 1 / weight with each item served; the team with the lowest is served next. A
+// team that was idle starts at the virtual time of the item served last, so
+// that it can't accumulate a burst. Items of one team are served in FIFO order.
 class FairQueue {
  public:
   void Push(const std::string& team, double weight, std::string id);
 
-  // The next item; nothing when empty.
+  // Removes and returns the next item; nullopt if the queue is empty.
   std::optional<std::string> Pop();
 
-  // The newest item of the team with the most waiting; nothing when empty.
+  // Removes and returns the newest item of the team with the most items;
+  // nullopt if the queue is empty.
   std::optional<std::string> PopNewestOfLongest();
 
   void Erase(const std::string& team, const std::string& id);
@@ -44,9 +45,9 @@
 
   void DropIfIdle(const std::string& team);
 
-  std::map<std::string, Team> teams_;  // with items only
+  std::map<std::string, Team> teams_;  // only teams with items
   std::set<Rank> ranks_;
-  double virtual_now_ = 0;
+  double virtual_now_ = 0;  // virtual time of the item served last
   std::size_t size_ = 0;
 };
 
--- a/Source/scheduler/forwarding.cc
+++ b/Source/scheduler/forwarding.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A request with less time left than the way to a peer and back stays here.
+// A request with less time left than a round trip to a peer is not forwarded.
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
 
 std::int64_t FreeSlots(const Peer& peer, const std::string& service) {
@@ -25,7 +25,8 @@
   return 0;
 }
 
-// The peer has said that it did not run the request.
+// The peer did not run the request: admits it here again, unless the refusal is
+// final.
 void OnForwardRefused(Context& context,
                       RequestEntry& entry,
                       const NotRun& refusal) {
@@ -106,7 +107,7 @@
   const auto it = state.requests.entries.find(answer.answer.id);
   if (it == state.requests.entries.end() ||
       it->second.state != RequestState::kForwarded || it->second.peer != from) {
-    return;  // late or doubled
+    return;  // late or duplicate
   }
   RequestEntry& entry = it->second;
   if (const auto* refusal = std::get_if<NotRun>(&answer.answer.verdict)) {
--- a/Source/scheduler/forwarding.h
+++ b/Source/scheduler/forwarding.h
@@ -1,4 +1,4 @@
-// Hands requests to peers with free slots, at most once each.
+// Forwards requests to peers with free slots, each request at most once.
 #ifndef BURDOCKROCK_SCHEDULER_FORWARDING_H_
 #define BURDOCKROCK_SCHEDULER_FORWARDING_H_
 
@@ -11,15 +11,18 @@
 
 class Context;
 
-// A peer whose digest is fresh enough to go by and which has not refused work
-// since. Both checks follow the idea of the related paper on staleness gating;
-// docs/design/0005-forwarding.md gives the measurement.
+// Whether work may be sent to the peer: it is alive and serving, its digest is
+// recent enough to rely on, and it has not refused work since that digest.
+// Both checks follow the related paper on staleness gating; see
+// docs/design/0005-forwarding.md.
 bool IsUsable(const Context& context, const Peer& peer);
 
-// The freer of two random peers with free slots; empty when there is none.
+// The one with more free slots of two random peers with free slots; empty if no
+// peer has any.
 std::string ChoosePeerForRequest(Context& context, const std::string& service);
 
-// False when the request can't be forwarded (again).
+// Forwards the request; false if it was forwarded before or too little time is
+// left.
 bool ForwardToPeer(Context& context,
                    RequestEntry& entry,
                    const std::string& peer);
--- a/Source/scheduler/health.cc
+++ b/Source/scheduler/health.cc
@@ -9,7 +9,10 @@
 
 namespace {
 
+// Caps the exponential backoff of the probe.
 constexpr std::uint32_t kMaxProbeShift = 5;
+// Tasks of a job must have run this much longer than the failed one, on this
+// many other workers.
 constexpr int kOutlastFactor = 2;
 constexpr Duration kOutlastMargin = std::chrono::milliseconds(1);
 constexpr std::size_t kOutlastMinWorkers = 2;
@@ -30,8 +33,8 @@
          static_cast<double>(failures) >= policy.failure_ratio * total;
 }
 
-// Past the cap the cause is not in single workers: taking more of them out
-// would only take room from sound work.
+// Beyond the cap, single workers are unlikely to be the cause: quarantining
+// more of them would only reduce the capacity for healthy work.
 bool IsQuarantineCapReached(const Context& context) {
   const State& state = context.state();
   std::int64_t quarantined = 0;
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -12,27 +12,27 @@
 
 namespace {
 
-// Up to so many peers every digest goes to all of them. Beyond, a member of
-// another domain hears from this one in turn, so that a deployment's digests
-// grow with the members of a domain and the number of domains, not with their
-// product.
+// Up to this many peers, each digest is sent to all of them. Beyond that, each
+// digest is sent to only one member of each other domain, in rotation, so that
+// the number of digests grows with the members of a domain plus the number of
+// domains, not with their product.
 constexpr std::size_t kFullMeshPeers = 8;
 
-// A member of another domain gets every second digest at most: it is needed
-// there to forward by and not to own workers by.
+// Other domains get at most every second digest: they use digests only for
+// forwarding, not for the ownership of workers.
 constexpr std::uint64_t kFarDigestInterval = 2;
-// In periods of membership.peer_silent.
+// In units of membership.peer_silent.
 constexpr std::int64_t kMinFarTimeoutFactor = 2;
 
-// A watcher whose platform is silent for longer hands the watch to a member
-// that still reaches it.
+// If the watcher had no answer from the platform for longer, another member
+// that still reaches the platform takes over.
 constexpr Duration kMaxWatcherPlatformAge = std::chrono::seconds(5);
 
-// A peer is asked for documents at most once in this time.
+// Minimum interval between two PullDocuments messages to the same peer.
 constexpr Duration kPullInterval = std::chrono::milliseconds(300);
 
-// Incarnations are made from the clock, in a notation whose order by length
-// and then by text is the order of time.
+// Incarnations are derived from the clock and encoded so that their order by
+// length, then by text, is chronological.
 bool IsOlder(const std::string& left, const std::string& right) {
   if (left.size() != right.size()) {
     return left.size() < right.size();
@@ -96,14 +96,15 @@
   }
 }
 
-// What was given to the peer's process may or may not be done.
+// The peer's process is lost: the work that it was given may or may not be
+// running.
 void OnPeerLost(Context& context, const std::string& id) {
   FailForwarded(context, id);
   for (auto& [job_id, job] : context.state().jobs.jobs) {
     for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
       const Task& task = job.tasks[it];
-      // Also one that was told to stop: the word may be lost with the peer, and
-      // the job would wait for its end for ever.
+      // This includes a task that is being stopped: the stop may be lost with
+      // the peer, and the job would wait forever for the task's end.
       if (IsOut(task) && task.owner == id) {
         OrphanTask(context, job, it);
       }
@@ -115,6 +116,8 @@
   }
 }
 
+// Declares unresponsive peers lost, and reassigns the owners of workers if the
+// members of the domain changed.
 void CheckPeers(Context& context) {
   State& state = context.state();
   const Duration limit = context.policy().membership.peer_silent;
@@ -160,8 +163,8 @@
   WorkerRecord& worker = ownership.workers[info.id];
   const bool was_leaving = worker.info.leaving;
   worker.info = info;
-  // Signs of leaving are never undone: an older list that comes late must not
-  // send new work to a backend that has gone.
+  // `leaving` is never reset: a late, older list must not cause new work to be
+  // sent to a backend server that has left.
   worker.info.leaving = info.leaving || was_leaving;
   if (worker.removed) {
     worker.removed = false;
@@ -253,7 +256,7 @@
   State& state = context.state();
   Peer& peer = state.membership.peers[said.from];
   if (digest.sequence <= peer.digest.sequence) {
-    return;  // late or doubled: a newer one is known
+    return;  // late or duplicate: a newer digest is known
   }
   if (digest.draining && !peer.digest.draining) {
     context.Log(EventNumber::kPeerLeaving, {{"peer", said.from}});
--- a/Source/scheduler/membership.h
+++ b/Source/scheduler/membership.h
@@ -1,5 +1,5 @@
-// Which entry instances are there, what they told of themselves, and the
-// platform's list of instances.
+// The known entry instances, their last digests, and the platform's list of
+// instances.
 #ifndef BURDOCKROCK_SCHEDULER_MEMBERSHIP_H_
 #define BURDOCKROCK_SCHEDULER_MEMBERSHIP_H_
 
@@ -16,25 +16,25 @@
 
 class Context;
 
-// What this process knows of another entry instance.
+// Another entry instance, as known to this process.
 struct Peer {
   std::string id;
   std::string domain;
   std::string address;
-  std::string incarnation;  // empty until it was heard
+  std::string incarnation;  // empty until its first message
   Time last_heard{0};
   bool alive = false;
-  bool leaving = false;  // by the platform's list; never undone
+  bool leaving = false;  // according to the platform's list; never reset
   Digest digest;
   Time digest_at{0};
-  // Requests handed to it since its digest, by service: its room is that much
-  // smaller than it says.
+  // Requests forwarded and resources offered to it since its digest: its free
+  // capacity is smaller than the digest reports by that much.
   std::map<std::string, std::int64_t> lent;
   Resources lent_room;
   bool struck = false;                  // it refused work since its digest
   std::uint64_t offer_sequence = 0;     // of the last offer sent to it
-  std::uint64_t accepted_sequence = 0;  // of the last offer taken from it
-  Time pulled_at{0};
+  std::uint64_t accepted_sequence = 0;  // of the last offer accepted from it
+  Time pulled_at{0};                    // when it was last sent PullDocuments
 };
 
 struct Membership {
@@ -42,53 +42,56 @@
   std::uint64_t digest_sequence = 0;
   InstanceList instances;
   bool has_instances = false;
-  bool settled = false;  // time was given to hear the peers after the start
-  // When the peers were first told that this process serves. It claims workers
-  // one digest later: by then each member knows of the others that start with
-  // it, and none claims what it would hand over at once.
+  bool settled = false;  // live peers had time to send a digest after the start
+  // When the peers were first informed that this process serves. It claims
+  // workers one digest interval later: by then the members that start at the
+  // same time know each other, and none claims a worker that it would hand over
+  // at once.
   Time announced{0};
-  std::vector<std::string> members;  // last reviewed, of the own domain
+  std::vector<std::string> members;  // of the own domain, as last checked
 };
 
-// Starts the first reads and digests of a process.
+// Adds the configured peers and sets the first timers of a process.
 void StartMembership(Context& context);
 
-// The digest timer: sends digests and reviews who is alive.
+// Checks which peers are alive, sends digests, and sets the next digest timer.
 void OnDigestTimer(Context& context);
 
 void OnDigest(Context& context, const PeerSaid& said, const Digest& digest);
 
-// Notes that `said.from` is alive under this incarnation. False when the
-// message is of an older incarnation and must be dropped.
+// Records that `said.from` is alive under this incarnation. False if the
+// message is from an older incarnation, or from this instance, and must be
+// dropped.
 bool NotePeer(Context& context, const PeerSaid& said);
 
-// Takes a list of instances newer than the one known.
+// Applies a list of instances if it is newer than the known one.
 void ApplyInstances(Context& context, const InstanceList& list);
 
+// Sends the documents of which the peer has an older revision.
 void OnPullDocuments(Context& context,
                      const std::string& from,
                      const PullDocuments& pull);
 
-// This process may own workers and take work.
+// Whether this process may own workers and accept work.
 bool IsServing(const Context& context);
 
-// Live entry instances of the own domain that may own workers, with this one,
-// sorted.
+// Live entry instances of the own domain that may own workers, including this
+// one; sorted.
 std::vector<std::string> DomainMembers(const Context& context);
 
-// Live entry instances of the whole deployment, with this one.
+// Live entry instances of the whole deployment, including this one.
 std::size_t CountLivePeers(const Context& context);
 
-// In a large deployment a member of another domain sends each digest to one
-// member here in turn: the number of turns, by which its patience and the age
-// of its digests are longer.
+// In a large deployment a member of another domain sends each digest to only
+// one member here, in rotation. The length of that rotation, by which timeouts
+// and the maximum age of digests are multiplied; 1 in a small deployment.
 std::int64_t FarDigestTurns(const Context& context);
 
-// A peer in the own domain that can be talked to now.
+// Whether the peer is alive and in the own domain.
 bool IsDomainPeer(const Context& context, const Peer& peer);
 
-// True for one member of the domain: the one that watches the platform for
-// all of them.
+// Whether this process is the member that watches the platform for all of its
+// domain.
 bool IsWatcher(const Context& context);
 
 }  // namespace burdockrock
--- a/Source/scheduler/owner_assignment.cc
+++ b/Source/scheduler/owner_assignment.cc
@@ -10,6 +10,8 @@
 
 namespace {
 
+// Assigns each worker, in hash order, to the member with the highest score
+// among those below their share.
 void AssignGroup(std::vector<const InstanceInfo*> workers,
                  const std::vector<std::string>& members,
                  std::map<std::string, std::string>& owners) {
@@ -45,8 +47,8 @@
   if (members.empty()) {
     return owners;
   }
-  // Minions of one service are spread apart from those of others, so that each
-  // member gets slots of each service.
+  // The minions of each service are assigned separately, so that each member
+  // gets slots of each service.
   std::map<std::string, std::vector<const InstanceInfo*>> groups;
   for (const InstanceInfo& it : workers) {
     const std::string group =
--- a/Source/scheduler/ownership.cc
+++ b/Source/scheduler/ownership.cc
@@ -14,7 +14,7 @@
 constexpr Duration kCommandTimeout = std::chrono::seconds(2);
 constexpr Duration kPollGrace = std::chrono::seconds(2);
 constexpr Duration kHandoverTimeout = std::chrono::seconds(8);
-// A run may take as long as its caller waits; a caller's deadline is bounded.
+// A run may take until the deadline of its caller, which is bounded.
 constexpr Duration kRunTimeout = std::chrono::hours(1);
 
 bool IsOurs(const WorkerRecord& worker) {
@@ -22,8 +22,8 @@
          worker.state == OwnerState::kHandingOver;
 }
 
-// The process that last claimed the worker is alive by this one's view. While
-// it is, the worker is left to it until it hands it over.
+// Whether the process that last claimed the worker is alive, as seen by this
+// one. If so, this process waits for a handover instead of claiming.
 bool OwnerIsAlive(const Context& context, const WorkerRecord& worker) {
   const std::size_t split = worker.owner.find('~');
   if (split == std::string::npos) {
@@ -35,11 +35,11 @@
          it->second.incarnation == worker.owner.substr(split + 1);
 }
 
-// Two members that can't hear each other, but both reach the worker, would
-// take it from each other without end: each sees the other as dead. So a
-// worker that was taken away is left alone for a while, twice as long each
-// time, and one whose owner is alive but doesn't hand it over is claimed only
-// after kHandoverPatience.
+// Two members that can't reach each other, but both reach the worker, would
+// take it from each other endlessly, as each considers the other lost.
+// Therefore a worker that another member took is claimed again only after an
+// exponential backoff, and one whose owner is alive but doesn't hand it over
+// only after kHandoverTimeout.
 bool MayClaim(Context& context, WorkerRecord& worker) {
   if (context.now() < worker.claim_after ||
       context.now() < worker.quiet_until) {
@@ -76,7 +76,8 @@
                Handover{.worker = worker.info.id, .epoch = worker.epoch});
 }
 
-// True when the review is done with the worker.
+// Claims or offers the worker according to its assignment; true if it needs no
+// further check.
 bool CheckWorker(Context& context, WorkerRecord& worker) {
   State& state = context.state();
   if (worker.claim_in_flight) {
@@ -167,14 +168,14 @@
                 const Handover& handover) {
   State& state = context.state();
   const auto it = state.ownership.workers.find(handover.worker);
-  // A late or doubled hand-over names an epoch that has passed.
+  // A late or duplicate handover has an outdated epoch.
   if (it == state.ownership.workers.end() ||
       handover.epoch < it->second.epoch || state.drain.draining) {
     return;
   }
   WorkerRecord& worker = it->second;
-  // Members with different views would pass a worker back and forth. It moves
-  // only when giver and taker agree.
+  // The handover is accepted only if the worker is assigned to this process
+  // here, too: members with different views would pass it back and forth.
   const bool is_wanted = worker.desired == state.self.instance;
   if (IsOurs(worker) || worker.claim_in_flight || !is_wanted) {
     return;
@@ -192,8 +193,8 @@
     return;
   }
   // A worker that is being handed over stays open until the other member has
-  // claimed it: what is started meanwhile runs or is refused, and a hand-over
-  // that is not taken up leaves no worker idle.
+  // claimed it: a start in the meantime is either executed or refused, and a
+  // handover that is not accepted leaves no worker idle.
   const bool is_open = IsOurs(worker) && !worker.info.leaving &&
                        !worker.removed && !worker.silent && !worker.suspect &&
                        !worker.claim_in_flight && worker.unchecked.empty() &&
@@ -286,8 +287,8 @@
     return;
   }
   WorkerRecord& worker = it->second;
-  // A worker that left the list is renewed no more: its attempts then end at
-  // a known time, whether it is really gone or only the list is wrong.
+  // The leases of a worker removed from the list are no longer renewed: its
+  // attempts then end at a known time, even if the list is wrong.
   if (!IsOurs(worker) || worker.poll != 0 || worker.silent || worker.removed) {
     return;
   }
@@ -339,9 +340,9 @@
     }
     return;
   }
-  // That no lease of this process holds does not say that the attempts have
-  // ended: while this process was paused another may have claimed the worker.
-  // So they are looked for, and not taken as ended.
+  // The attempts may still be running although all leases of this process have
+  // lapsed: another member may have claimed the worker while this process was
+  // paused. They are searched for instead of being declared ended.
   if (worker.silent && context.now() >= worker.lease_sent + bound) {
     LoseSight(context, worker);
   }
@@ -351,7 +352,7 @@
   State& state = context.state();
   const auto it = state.calls.workers.find(answered.call);
   if (it == state.calls.workers.end()) {
-    return;  // late or doubled
+    return;  // late or duplicate
   }
   const WorkerPurpose purpose = std::move(it->second);
   state.calls.workers.erase(it);
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -158,7 +158,8 @@
   }
 };
 
-// Notes whether the platform answers, for the digests and the log.
+// Records whether the platform answers; used for the digests and logged on
+// change.
 void UpdatePlatformReachability(Context& context,
                                 const PlatformResult& result) {
   State& state = context.state();
@@ -214,7 +215,7 @@
     auto& calls = context.state().calls.platform;
     const auto it = calls.find(event.call);
     if (it == calls.end()) {
-      return;  // late or doubled
+      return;  // late or duplicate
     }
     const PlatformPurpose purpose = std::move(it->second);
     calls.erase(it);
@@ -257,7 +258,7 @@
   if (state.write_budget == nullptr) {
     state.write_budget = std::make_unique<WriteBudget>(budget);
   } else {
-    *state.write_budget = budget;  // the logs keep pointing to it
+    *state.write_budget = budget;  // in place, as the logs hold a pointer to it
   }
 }
 
--- a/Source/scheduler/reducer.h
+++ b/Source/scheduler/reducer.h
@@ -1,6 +1,6 @@
-// The one reducer of an entry instance: every decision is made here, from
-// events alone. It reads no clock, no socket and no random source, so the same
-// events give the same effects.
+// The reducer of an entry instance: makes every decision from events alone. It
+// reads no clock, socket or external random source, so that equal states and
+// events produce equal effects.
 #ifndef BURDOCKROCK_SCHEDULER_REDUCER_H_
 #define BURDOCKROCK_SCHEDULER_REDUCER_H_
 
@@ -10,10 +10,10 @@
 
 namespace burdockrock {
 
-// Applies one event and returns what is to be done, in order.
+// Applies one event and returns the resulting effects, in order.
 Effects Step(State& state, const Event& event);
 
-// When the next TimerFired is due; kForever when none is.
+// When the next TimerFired is due; kForever if no timer is set.
 Time NextTime(const State& state);
 
 }  // namespace burdockrock
--- a/Source/scheduler/request_admission.cc
+++ b/Source/scheduler/request_admission.cc
@@ -15,6 +15,7 @@
 
 namespace {
 
+// How long after its deadline a duplicate of a forward may arrive.
 constexpr Duration kForwardDuplicateWindow = std::chrono::seconds(30);
 constexpr double kRunMarginFactor = 4;
 constexpr double kMinSlotShare = 0.001;
@@ -25,10 +26,10 @@
   return it == context.policy().teams.end() ? 1.0 : it->second.weight;
 }
 
-// The time that a request entering the queue now will wait for a slot. It gets
-// one when those of its own and the higher classes have had theirs, from what
-// the higher classes leave of the slots that come free; or by the share that is
-// kept for lower classes, after those of its own class.
+// How long a request that is queued now will wait for a slot. It gets one
+// either after the queued requests of its own and the higher classes, from the
+// service rate that new requests of the higher classes leave; or, by the share
+// reserved for lower classes, after the queued requests of its own class.
 Duration PredictWait(Context& context, const RequestEntry& entry) {
   const ServiceQueue& queue = QueueOf(context, entry.request.service);
   const auto slots =
@@ -51,16 +52,17 @@
   const double remaining_rate =
       std::max(service_rate - higher_rate, service_rate * kMinSlotShare);
   const double by_rank = static_cast<double>(ahead) / remaining_rate;
-  // The slots may all have been taken in the same moment, so that none comes
-  // free for a whole run.
+  // All slots may have been occupied at the same moment, so that none is
+  // released for a whole run.
   const double wait = queue.mean_run_us + std::min(by_rank, by_share);
   return Duration(static_cast<Duration::rep>(wait));
 }
 
-// The longest wait with which a request is still queued. The run has to fit
-// after it, and most runs are not much longer than kRunMargin times the mean.
-// Half of what is left is kept for what the prediction doesn't know. A queue
-// so short keeps all slots busy, and who would wait longer hears it at once.
+// The longest predicted wait with which a request is still queued. The run must
+// fit in after the wait, and few runs are much longer than kRunMarginFactor
+// times the mean. Half of the remaining time is a margin for the error of the
+// prediction. A queue of this length still keeps all slots busy, and requests
+// that would wait longer are refused at once.
 Duration MaxAdmissibleWait(Context& context, const RequestEntry& entry) {
   const Duration left = entry.deadline - context.now();
   const Duration run(static_cast<Duration::rep>(
@@ -68,8 +70,8 @@
   return (left - std::min(run, left / 2)) / 2;
 }
 
-// Drops the newest request of the least urgent class below this one, if the
-// queue is full. False when the queue is full of work at least as urgent.
+// If the queue is full, refuses the newest request of the least urgent class
+// below this one. False if all queued requests are at least as urgent.
 bool EnsureQueueSpace(Context& context, const RequestEntry& entry) {
   ServiceQueue& queue = QueueOf(context, entry.request.service);
   const auto limit = static_cast<std::size_t>(
@@ -113,8 +115,8 @@
                  .retry_after = RetryAfter(context, wait)});
 }
 
-// Queues the request here, or refuses it at once when it would not make its
-// deadline: a caller that hears now can come back, one that waits can't.
+// Queues the request, or refuses it at once if it would miss its deadline: an
+// early refusal leaves its caller time for a retry.
 void QueueOrRefuse(Context& context, RequestEntry& entry) {
   const std::string id = entry.request.id;
   const Duration wait = PredictWait(context, entry);
@@ -137,7 +139,8 @@
   Enqueue(context, entry);
 }
 
-// A minion is owned here that will take requests, if perhaps not now.
+// Whether an owned minion of the service accepts requests, now or once it has a
+// free slot.
 bool HasUsableMinion(const Context& context, const std::string& service) {
   const auto& workers = context.state().ownership.workers;
   return std::any_of(workers.begin(), workers.end(), [&](const auto& it) {
@@ -155,7 +158,7 @@
           .retry_after = kNotReadyRetryAfter};
 }
 
-// Why a request can't be taken at all; nothing when it can.
+// Why a request can't be admitted at all; nullopt if it can.
 std::optional<NotRun> RefusalOf(Context& context, const RequestEntry& entry) {
   const State& state = context.state();
   if (!state.config.loaded) {
@@ -251,7 +254,7 @@
   auto& taken = context.state().requests.taken_forwards;
   const Time expiry = entry.deadline + kForwardDuplicateWindow;
   if (!taken.emplace(entry.request.id, expiry).second) {
-    return;  // doubled: the first one is or was answered
+    return;  // duplicate: the first message is answered
   }
   Accept(context, entry);
 }
@@ -264,8 +267,8 @@
     return;
   }
   if (!entry.origin.empty()) {
-    // The peer counted on a free slot. Waiting here would hide the request
-    // from slots that come free there.
+    // The peer expected a free slot here. If the request were queued here, it
+    // would miss slots that are released at the peer.
     RefuseOverloaded(context, entry.request.id, PredictWait(context, entry),
                      "no free slot");
     return;
--- a/Source/scheduler/request_admission.h
+++ b/Source/scheduler/request_admission.h
@@ -1,5 +1,5 @@
-// Takes requests in: checks, the idempotency key, a slot here, a peer, or a
-// place in the queue if the deadline can be met.
+// Admission of requests: validation, claim of the idempotency key, then
+// dispatch here, forwarding to a peer, or queueing if the deadline can be met.
 #ifndef BURDOCKROCK_SCHEDULER_REQUEST_ADMISSION_H_
 #define BURDOCKROCK_SCHEDULER_REQUEST_ADMISSION_H_
 
@@ -17,15 +17,16 @@
                       const std::string& from,
                       const ForwardRequest& forward);
 
-// The request's key is recorded, or it has none: it may be dispatched.
+// Dispatches, forwards, queues or refuses a request whose key is recorded or
+// that needs none.
 void AdmitRequest(Context& context, RequestEntry& entry);
 
 void Enqueue(Context& context, RequestEntry& entry);
 
-// Refuses what waits for a service of which no minion is left here.
+// Refuses the queued requests of services without an owned minion.
 void RefuseUnservable(Context& context);
 
-// Forwards whose doubles can no longer arrive.
+// Drops accepted forwards of which no duplicate can arrive any more.
 void ForgetOldForwards(Context& context);
 
 }  // namespace burdockrock
--- a/Source/scheduler/request_runs.h
+++ b/Source/scheduler/request_runs.h
@@ -1,4 +1,4 @@
-// Dispatches requests to minions and takes their ends.
+// Dispatches requests to minions and handles the results of their runs.
 #ifndef BURDOCKROCK_SCHEDULER_REQUEST_RUNS_H_
 #define BURDOCKROCK_SCHEDULER_REQUEST_RUNS_H_
 
@@ -12,21 +12,22 @@
 
 class Context;
 
-// False when no minion of the service has a free slot.
+// Dispatches the request; false if no minion of the service has a free slot.
 bool TryDispatch(Context& context, RequestEntry& entry);
 
-// A minion's answer to a run.
+// A minion has answered a run.
 void OnRunEnded(Context& context, const std::string& id, const RunEnded& ended);
 
-// The run was refused or never left: it may be tried again.
+// The run was refused or its command was not received: it may be retried.
 void OnRunNotStarted(Context& context,
                      const std::string& id,
                      const std::string& why);
 
-// The answer to a run was lost; its minion is asked what it runs.
+// The answer to a run was lost. If the request is idempotent and its minion
+// responsive, the minion's next report decides; else the request is finished.
 void OnRunUncertain(Context& context, const std::string& id);
 
-// The minion doesn't run the attempt (any more) and its answer is lost.
+// The minion doesn't run the attempt (any more) and its answer was lost.
 void OnRunVanished(Context& context, const AttemptId& attempt);
 
 }  // namespace burdockrock
--- a/Source/scheduler/requests.cc
+++ b/Source/scheduler/requests.cc
@@ -15,9 +15,9 @@
 
 constexpr char kRequestPrefix[] = "q.";
 
-// The class to serve next. Urgent goes first, but of any 1 / batch_share picks
-// one goes to the classes below, so that a flood of urgent work delays the
-// rest without starving it.
+// The class to serve next: the most urgent one with queued requests, but one of
+// every 1 / batch_share picks goes to the next lower class, so that a flood of
+// urgent work doesn't starve the rest.
 std::optional<std::size_t> NextClass(Context& context, ServiceQueue& queue) {
   const double share = context.policy().urgency.batch_share;
   std::optional<std::size_t> first;
@@ -41,8 +41,8 @@
                                                                        : first;
 }
 
-// What is left of the deadline is shorter than a usual run: a slot given to it
-// would most likely be wasted.
+// Whether less time than the mean run is left before the deadline, so that a
+// slot would most likely be wasted on the request.
 bool WillMissDeadline(const Context& context,
                       const RequestEntry& entry,
                       const ServiceQueue& queue) {
@@ -136,13 +136,13 @@
   if (it == state.requests.entries.end()) {
     return;
   }
-  // `given_id` may be the name that is kept in the entry itself. Read after the
-  // entry is gone it is empty: a peer's answer then names no request, and a
-  // key's claim is never settled.
+  // `given_id` may refer to the string in the entry itself, which is empty once
+  // the entry has been moved from: the answer to a peer would then name no
+  // request and the claim of a key would never be settled.
   const std::string id = it->first;
   const RequestEntry entry = std::move(it->second);
-  // A refusal is of the last try alone. Told as it is, a caller whose first try
-  // ran and lost its answer would hear that nothing ran.
+  // A refusal applies to the last attempt only. If the answer of an earlier
+  // attempt was lost, the caller must not be answered "not run".
   if (const auto* last = std::get_if<NotRun>(&verdict);
       last != nullptr && entry.may_have_run) {
     verdict = MayHaveRun{
@@ -212,7 +212,8 @@
     case RequestState::kRunning:
       break;
   }
-  // It goes on running and holds its slot; only the caller is told.
+  // The request keeps running and occupies its slot; only its caller is
+  // answered.
   const RequestEntry kept = entry;
   FinishRequest(context, id,
                 MayHaveRun{.reason = Reason::kDeadline,
--- a/Source/scheduler/requests.h
+++ b/Source/scheduler/requests.h
@@ -1,5 +1,5 @@
-// Interactive requests: admission, waiting, dispatch to minions, forwarding to
-// peers, answers.
+// Interactive requests: admission, queueing, dispatch to minions, forwarding to
+// peers, and answers.
 #ifndef BURDOCKROCK_SCHEDULER_REQUESTS_H_
 #define BURDOCKROCK_SCHEDULER_REQUESTS_H_
 
@@ -25,12 +25,13 @@
 
 enum class RequestState {
   kClaiming,   // its idempotency key is being recorded
-  kQueued,     // waits for a slot here
+  kQueued,     // waits for a slot of an owned minion
   kRunning,    // dispatched to a minion
-  kSettling,   // the minion's answer was lost; not known whether it runs
-  kForwarded,  // given to a peer
+  kSettling,   // the minion's answer was lost; it may or may not be running
+  kForwarded,  // sent to a peer
 };
 
+// A request that is known here until it has its verdict.
 struct RequestEntry {
   Request request;
   ReplyId reply = 0;   // 0 when a peer forwarded it
@@ -38,9 +39,9 @@
   Time arrived{0};
   Time deadline{0};
   RequestState state = RequestState::kQueued;
-  bool answered = false;  // at its deadline, while it still ran
+  bool answered = false;  // at its deadline, while it was still running
   bool dispatched = false;
-  bool may_have_run = false;  // an earlier try's answer was lost
+  bool may_have_run = false;  // the answer of an earlier attempt was lost
   bool forwarded_once = false;
   std::string peer;
   std::string minion;
@@ -51,12 +52,12 @@
   bool claimed = false;
 };
 
-// The waiting requests of one service and how fast they are served.
+// The queued requests of one service and the rate at which they are served.
 struct ServiceQueue {
   std::array<FairQueue, kUrgencyCount> classes;
   std::array<std::uint64_t, kUrgencyCount> picks{};
-  double mean_run_us = 0;  // moving average; 0 until the first end
-  // Requests taken in by class, per microsecond over the last second or so.
+  double mean_run_us = 0;  // moving average; 0 until a first run has ended
+  // Admitted requests per microsecond, by class.
   std::array<DecayingRate, kUrgencyCount> taken;
   std::size_t size() const;
 };
@@ -64,8 +65,9 @@
 struct Requests {
   std::unordered_map<std::string, RequestEntry> entries;
   std::map<std::string, ServiceQueue> services;
-  // Forwarded requests that were taken, and until when a doubled message of
-  // one may still arrive: it must not run again after the first has ended.
+  // Forwarded requests that were accepted, with the time until which a
+  // duplicate of the message may arrive: it must not run the request again
+  // after the first run has ended.
   std::map<std::string, Time> taken_forwards;
   double retry_tokens = 10;
   std::uint64_t next_id = 1;
@@ -78,37 +80,40 @@
 void OnCancelForward(Context& context, const CancelForward& cancel);
 void OnRequestDeadline(Context& context, const std::string& id);
 
-// Ends a request that was not dispatched or is known not to run.
+// Finishes a request that was not dispatched or is known not to be running.
 void RefuseRequest(Context& context, const std::string& id, NotRun not_run);
 
-// Ends a request with any verdict and forgets it. `id` may be the entry's own.
+// Answers a request with `verdict` and removes it. `id` may refer to the string
+// in the entry itself.
 void FinishRequest(Context& context, const std::string& id, Verdict verdict);
 
-// A peer died: requests that it was given may have run.
+// A peer is lost: the requests forwarded to it may have run.
 void FailForwarded(Context& context, const std::string& peer);
 
-// Dispatches waiting requests while there are free slots, and hands others to
-// peers with room.
+// Dispatches queued requests while there are free slots here, then forwards to
+// peers with free slots.
 void PumpRequests(Context& context);
 
-// Cancels a waiting or running request; nothing when it is not here.
+// Cancels a queued or running request; nullopt if it is not known here.
 std::optional<WorkStatus> CancelRequest(Context& context,
                                         const std::string& id);
+
+// The status of a request; nullopt if it is not known here or was answered.
 std::optional<WorkStatus> RequestStatus(Context& context,
                                         const std::string& id);
 
-// The job part of a request's attempts, and back.
+// The `job` of the AttemptIds of a request, and the reverse mapping.
 std::string RequestAttemptName(const std::string& request);
 std::string RequestOfAttempt(const AttemptId& attempt);
 bool IsRequestAttempt(const AttemptId& attempt);
 
-// The request of this attempt is still known here.
+// Whether `attempt` is the latest attempt of a request known here.
 bool IsOpenRequest(const Context& context, const AttemptId& attempt);
 
 std::size_t ClassOf(const RequestEntry& entry);
 ServiceQueue& QueueOf(Context& context, const std::string& service);
 
-// Between retry_after_min and retry_after_max.
+// `wanted`, clamped to [retry_after_min, retry_after_max] of the policy.
 Duration RetryAfter(const Context& context, Duration wanted);
 
 }  // namespace burdockrock
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -15,8 +15,8 @@
 constexpr Duration kFirstRoundInterval = std::chrono::milliseconds(250);
 constexpr Duration kLaterRoundInterval = std::chrono::seconds(2);
 constexpr std::uint64_t kFirstRoundCount = 20;
-// A round's number carries its search's generation, so that the answer to an
-// earlier search, before offers were fenced off, does not count for this one.
+// The number of a round includes the generation of its search, so that a reply
+// to an earlier search, sent before offers were fenced, is not counted.
 constexpr std::uint64_t kRoundBits = 20;
 constexpr std::uint64_t kRoundMask = (std::uint64_t{1} << kRoundBits) - 1;
 
@@ -25,9 +25,9 @@
          worker.state == OwnerState::kHandingOver;
 }
 
-// All answers that count for a round come within this time, and leases must
-// have lapsed by so much more: else one member's word could be overtaken by
-// another's renewal.
+// Replies to a round are counted only within this time, and leases must have
+// lapsed for at least as long: else another member could renew a lease after
+// the first one has reported it as lapsed.
 constexpr Duration kRoundWindow = std::chrono::seconds(2);
 
 Duration LeaseBound(const Context& context) {
@@ -35,27 +35,30 @@
   return lease.task_lease + lease.drift;
 }
 
-// This process is known to have owned the worker at some time after `since`.
+// Whether this process is known to have owned the worker at some time after
+// `since`.
 bool IsOwnershipVerified(const WorkerRecord& worker, Time since) {
   return IsOurs(worker) && !worker.removed && !worker.claim_in_flight &&
          worker.proven >= since;
 }
 
+// Whether all leases that this process gave the worker lapsed at least
+// kRoundWindow ago.
 bool HasLapsed(const Context& context, const WorkerRecord& worker) {
   const bool may_renew = IsOurs(worker) && !worker.silent;
   return !may_renew &&
          context.now() > worker.lease_sent + LeaseBound(context) + kRoundWindow;
 }
 
-// The platform has dropped the worker, and whoever still renewed it has had
-// time to see that.
+// Whether the worker was removed from the platform's list so long ago that all
+// members know it and its last lease has lapsed.
 bool IsRemovedAndLapsed(const Context& context, const WorkerRecord& worker) {
   return worker.removed &&
          context.now() > worker.removed_at + kListLag + LeaseBound(context);
 }
 
-// Notes a search at its first round, and asks the owned workers to show that
-// they still are.
+// Returns when the search was first seen. If that is now, renews the leases of
+// the owned workers to verify that this process still owns them.
 Time RecordSearch(Context& context, const AttemptSearch& search) {
   State& state = context.state();
   SearchSeen& seen = state.searches_seen[search.log];
@@ -108,7 +111,8 @@
   return answer;
 }
 
-// The members whose word is needed that nobody gives a worker leases.
+// Whether all members of the domain, listed by the platform or alive, reported
+// in this round that their leases of the worker have lapsed.
 bool AllLapsed(const Context& context,
                const Search& search,
                const std::string& worker) {
@@ -164,6 +168,7 @@
   });
 }
 
+// Declares lost the attempts of orphaned tasks whose workers are all covered.
 void LoseCoveredAttempts(Context& context, const std::string& log) {
   const Search search = context.state().searches.at(log);
   struct Lost {
@@ -196,7 +201,7 @@
   });
 }
 
-// Adopted jobs whose attempts are all accounted for go on.
+// Resumes the adopted jobs without orphaned tasks; true if none has any left.
 bool ResumeSettledJobs(Context& context, const std::string& log) {
   bool all_settled = true;
   std::vector<std::string> ids;
@@ -300,7 +305,7 @@
   State& state = context.state();
   std::uint64_t& fence = state.jobs.fences[search.log];
   if (search.generation < fence) {
-    return;  // of a writer that has been replaced
+    return;  // from a replaced writer
   }
   fence = search.generation;
   const auto own = state.jobs.journals.find(search.log);
--- a/Source/scheduler/search.h
+++ b/Source/scheduler/search.h
@@ -1,17 +1,18 @@
-// Looks for attempts whose owner is gone.
+// Searches for attempts whose owner is lost.
 //
-// A task may be started again only when its last attempt is known not to run.
-// The writer of its journal asks every member of the domain for the attempts
-// that they know, with a raised generation, below which they then refuse
-// offers. An attempt is lost when it was found nowhere and each worker that
-// could have it is covered. A worker is covered when
-// - its owner has shown after the search began that it is the owner (a member
-//   that was paused may only believe so), and knows all that runs there; or
-// - it is gone from the platform's list, and its last lease must have lapsed;
-// or
-// - every member of the domain says in one round that it has given the worker
-//   no lease for longer than leases last.
-// While a worker is not covered the task waits.
+// A task may be started again only when its last attempt is known not to be
+// running. The writer of its journal queries all members of the domain for the
+// attempts that they know of. The query carries an advanced generation, and the
+// members then refuse offers of lower generations. An attempt is lost when no
+// member reports it and each worker that could run it is covered. A worker is
+// covered if
+// - its owner has verified its ownership since the search began (a member that
+//   was paused may only assume it), and so knows all attempts there; or
+// - the platform's list no longer has it, and its last lease must have lapsed;
+//   or
+// - all members of the domain report in one round that none of them has given
+//   the worker a lease for longer than the lease duration.
+// While a worker is not covered, the task waits.
 #ifndef BURDOCKROCK_SCHEDULER_SEARCH_H_
 #define BURDOCKROCK_SCHEDULER_SEARCH_H_
 
@@ -27,28 +28,30 @@
 
 class Context;
 
+// A running search of the journal's writer.
 struct Search {
   std::uint64_t generation = 0;
   std::uint64_t round = 0;
-  std::set<std::string> covered;
-  // By worker, the members that gave it no lease, in this round.
+  std::set<std::string> covered;  // workers
+  // By worker, the members that reported in this round that their leases of it
+  // have lapsed.
   std::map<std::string, std::set<std::string>> lapsed;
   Time round_started{0};
   Time started{0};
-  Time next_round{0};  // an earlier timer is of a search that was replaced
+  Time next_round{0};  // an earlier timer belongs to a replaced search
 };
 
-// When this process first heard of a search.
+// When this process received the first query of a search.
 struct SearchSeen {
   std::uint64_t generation = 0;
   Time at{0};
 };
 
-// By journal.
+// Keyed by the name of the journal.
 using SearchesSeen = std::map<std::string, SearchSeen>;
 using Searches = std::map<std::string, Search>;
 
-// Starts a search for the orphaned tasks of a journal, or starts it anew.
+// Starts or restarts the search for the orphaned tasks of a journal.
 void StartSearch(Context& context, const std::string& log);
 void OnSearchTimer(Context& context, const std::string& log);
 void OnAttemptSearch(Context& context,
--- a/Source/scheduler/state.h
+++ b/Source/scheduler/state.h
@@ -1,4 +1,4 @@
-// All that one entry instance knows. Only the reducer changes it.
+// The state of one entry instance. Only the reducer modifies it.
 #ifndef BURDOCKROCK_SCHEDULER_STATE_H_
 #define BURDOCKROCK_SCHEDULER_STATE_H_
 
@@ -28,11 +28,12 @@
 struct PeerAddress {
   std::string id;
   std::string domain;
-  std::string address;  // "IP:PORT" of its peer port
+  std::string address;  // "IP:PORT" of the peer port
 
   auto operator<=>(const PeerAddress&) const = default;
 };
 
+// What a process is started with; constant over its lifetime.
 struct StateOptions {
   std::string instance;
   std::string incarnation;  // unique for each start of a process
@@ -40,16 +41,16 @@
   std::string site;
   std::vector<PeerAddress> peers;
   std::uint64_t seed = 1;
-  // Wall clock at Time{0}, milliseconds since 1970; only for the retention of
-  // idempotency keys.
+  // Wall clock at Time{0}, in milliseconds since 1970; used only for the
+  // retention of idempotency keys.
   std::int64_t wall_start_ms = 0;
 
   bool operator==(const StateOptions&) const = default;
 };
 
-// Counted since the start; metrics are read from here.
+// Totals since the start of the process, exported as metrics.
 struct Counters {
-  std::uint64_t answers[4] = {0, 0, 0, 0};  // by Verdict's index
+  std::uint64_t answers[4] = {0, 0, 0, 0};  // by index of Verdict
   std::uint64_t starts = 0;
   std::uint64_t retries = 0;
   std::uint64_t forwards = 0;
@@ -62,13 +63,13 @@
   StateOptions self;
   std::mt19937_64 random;
   Time started{0};
-  Time platform_seen{0};  // the platform's last answer
+  Time platform_seen{0};  // when the platform last answered
   bool platform_ok = false;
   bool platform_ever = false;
-  // Shared with the hooks of the logs.
+  // Wall clock in milliseconds since 1970; the callbacks of the logs read it.
   std::shared_ptr<std::int64_t> wall_ms = std::make_shared<std::int64_t>(0);
   std::unique_ptr<WriteBudget> write_budget;
-  double writes_per_second = 0;  // that the budget was made for
+  double writes_per_second = 0;  // the rate that `write_budget` was built for
   Timers timers;
   Calls calls;
   Membership membership;
@@ -80,7 +81,7 @@
   Jobs jobs;
   TaskQueue tasks;
   OpenLogs logs;
-  std::vector<std::string> dead_logs;  // dropped at the end of the step
+  std::vector<std::string> dead_logs;  // erased at the end of the step
   Searches searches;
   SearchesSeen searches_seen;
   DrainState drain;
@@ -89,7 +90,7 @@
 
 State MakeState(StateOptions options);
 
-// Brings the budget of journal writes in line with the policy in force.
+// Sets the budget of journal writes to the rate of the current policy.
 void SetWriteBudget(State& state);
 
 }  // namespace burdockrock
--- a/Source/scheduler/timers.h
+++ b/Source/scheduler/timers.h
@@ -1,4 +1,4 @@
-// The reducer's own agenda: what it wants to look at again, and when.
+// The timers of the reducer.
 #ifndef BURDOCKROCK_SCHEDULER_TIMERS_H_
 #define BURDOCKROCK_SCHEDULER_TIMERS_H_
 
@@ -13,44 +13,45 @@
 namespace burdockrock {
 
 enum class TimerKind {
-  kDigest,           // send digests, review who is alive
-  kRenew,            // id: worker
-  kClaim,            // id: worker
-  kLeaseBound,       // id: worker; an uncertain or silent worker's lease ends
-  kProbe,            // id: worker in quarantine
+  kDigest,      // send digests and check which peers are alive
+  kRenew,       // id: worker
+  kClaim,       // id: worker
+  kLeaseBound,  // id: worker; leases of a removed or unresponsive one lapse
+  kProbe,       // id: worker in quarantine
   kRequestDeadline,  // id: request
   kLedger,           // id: log
   kWatch,            // watch the configuration and the list of instances
   kOrphanScan,       // look for journals without a writer
   kJournal,          // id: log; close or purge it if it is empty
-  kForgetJob,        // id: job; a finished one
+  kForgetJob,        // id: job; drop it some time after its end
   kSearch,           // id: log; next round of an attempt search
   kOffers,           // repeat unanswered offers and updates
   kGang,             // id: job; the hold or the backoff ends
   kRetryTask,        // id: job; a failed task may be tried again
   kJobDeadline,      // id: job
   kSchedule,         // place waiting tasks
-  kDrain,            // see whether the planned stop is complete
+  kDrain,            // check whether the drain is complete
 };
 
 struct Timer {
   Time at{0};
-  std::uint64_t sequence = 0;  // keeps timers of one time in order
+  std::uint64_t sequence = 0;  // orders timers with the same time
   TimerKind kind = TimerKind::kDigest;
   std::string id;
 
   auto operator<=>(const Timer&) const = default;
 };
 
-// Timers are never withdrawn: a handler finds out itself whether its timer
-// still matters.
+// A priority queue of timers. Timers are never cancelled: each handler checks
+// whether its timer still applies.
 class Timers {
  public:
   void Add(Time at, TimerKind kind, std::string id);
 
-  // The earliest timer that is due; nothing when none is.
+  // Removes and returns the earliest due timer; nullopt if none is due.
   std::optional<Timer> PopDue(Time now);
 
+  // When the earliest timer is due; kForever if there is none.
   Time next() const;
   std::size_t size() const { return heap_.size(); }
 
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -1,4 +1,5 @@
-// Status and cancellation of work, here or at the writer of its journal.
+// Status and cancellation of work, handled here or by the writer of its
+// journal.
 #include <string>
 
 #include "scheduler/context.h"
@@ -99,8 +100,8 @@
                                    .status = *JobStatus(context, ask.id)});
 }
 
-// The writer may have died with the question: the caller hears that it has to
-// ask again instead of nothing. A cancel may have been taken.
+// The writer may be lost together with the query: its caller is answered that
+// it has to repeat the query. A cancellation may have been executed.
 void ExpireAsks(Context& context) {
   Jobs& jobs = context.state().jobs;
   for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
@@ -129,7 +130,7 @@
   Jobs& jobs = context.state().jobs;
   const auto it = jobs.asks.find(answer.ask);
   if (it == jobs.asks.end()) {
-    return;  // doubled
+    return;  // duplicate
   }
   const OpenAsk ask = it->second;
   jobs.asks.erase(it);
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -15,6 +15,8 @@
 namespace {
 
 constexpr Duration kRenewRetryDelay = std::chrono::milliseconds(500);
+// Base and cap of the exponential backoff before a lost worker is claimed
+// again.
 constexpr Duration kClaimBackoff = std::chrono::seconds(5);
 constexpr std::uint32_t kMaxClaimBackoffShift = 6;
 
@@ -38,15 +40,15 @@
   if (was_closed) {
     UpdateOpen(context, worker);
   }
-  // The renewals stopped when the worker fell silent; any answer starts them
-  // again.
+  // Renewals stop when the worker becomes unresponsive; any answer resumes
+  // them.
   if (IsOurs(worker) && worker.poll == 0) {
     context.At(context.now(), TimerKind::kRenew, worker.info.id);
   }
 }
 
-// Books what the worker has and this process did not know: attempts that an
-// earlier owner started.
+// Books an attempt that the worker reports and this process doesn't know, as an
+// earlier owner started it.
 void BookReported(Context& context,
                   WorkerRecord& worker,
                   const AttemptReport& report) {
@@ -89,7 +91,8 @@
   }
 }
 
-// Attempts that are booked, were there to be seen, and are not reported.
+// Booked attempts that the reports should contain but don't. `seen_from` is
+// when the renewal was sent; `definite` is true for the report of a claim.
 std::vector<AttemptId> Missing(const WorkerRecord& worker,
                                const std::vector<AttemptReport>& reports,
                                Time seen_from,
@@ -103,11 +106,11 @@
     if (booking.state == AttemptState::kEnded || reported.contains(attempt)) {
       continue;
     }
-    // A start that the worker confirmed before this renewal was sent was there
-    // when the renewal arrived. One that was confirmed later may have passed
-    // it on another connection: taking that one as ended would run it twice.
-    // Once the worker has accepted a higher epoch, all that it accepted before
-    // is in its report, and what is still under way will be refused.
+    // A start that was confirmed before this renewal was sent had taken effect
+    // when the renewal arrived. A start confirmed later may have overtaken the
+    // report on another connection: if it were declared ended, it would run
+    // twice. After the worker has accepted a higher epoch, its report contains
+    // all starts accepted before, and it refuses those still in flight.
     const bool is_confirmed = booking.confirmed != Time(0);
     const bool was_there = is_confirmed && booking.confirmed < seen_from;
     const bool is_settled = definite && (booking.uncertain || is_confirmed);
@@ -123,7 +126,7 @@
                    const AttemptId& attempt) {
   const Booking& booking = worker.bookings.at(attempt);
   if (booking.is_request) {
-    // A run whose call is still open gets its answer there.
+    // A run with an outstanding call is completed by the answer to that call.
     const bool uncertain = booking.uncertain;
     if (uncertain || !IsOpenRequest(context, attempt)) {
       EraseBooking(context, worker, attempt);
@@ -181,7 +184,7 @@
                      const ClaimPurpose& purpose,
                      const ClaimAccepted& accepted) {
   if (accepted.epoch < worker.epoch) {
-    return;  // a claim that a later one has overtaken
+    return;  // superseded by a later claim
   }
   worker.epoch = accepted.epoch;
   worker.owner = OwnName(context);
@@ -222,7 +225,7 @@
   const bool is_own_claim =
       worker.claim_in_flight && stale.owner == OwnName(context);
   if (stale.epoch <= worker.epoch || is_own_claim) {
-    return;  // this process itself has claimed it again since
+    return;  // this process has itself claimed the worker again
   }
   if (IsOurs(worker)) {
     LoseOwnership(context, worker, stale);
@@ -240,7 +243,7 @@
   context.Log(EventNumber::kClaimRefused,
               {{"worker", worker.info.id}, {"owner", stale.owner}});
   OnStaleEpoch(context, worker, stale);
-  // The first refusal only tells the epoch; the next claim goes out at once.
+  // The first refusal only reveals the epoch; the next claim is sent at once.
   const Duration wait =
       worker.claim_refusals == 1
           ? Duration(0)
@@ -263,8 +266,8 @@
     UpdateOpen(context, worker);
     return;
   }
-  // The claim may have been accepted. Claiming again with the same epoch
-  // settles that, as the worker accepts it from the same owner once more.
+  // The claim may have been accepted. It is repeated with the same epoch, which
+  // the worker accepts again from the same owner.
   ++worker.claim_refusals;
   const Duration wait = context.Jitter(
       std::min<Duration>(std::chrono::milliseconds(500) * worker.claim_refusals,
@@ -278,8 +281,8 @@
   worker.silent = true;
   context.Log(EventNumber::kWorkerSilent, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
-  // From here on no lease is renewed, so that the time is known by which all
-  // that runs there has ended. Claims, which renew nothing, probe for it.
+  // No lease is renewed from now on, so that it is known when all attempts on
+  // the worker have ended. Claims, which renew no lease, probe the worker.
   const LeasePolicy& lease = context.policy().lease;
   context.At(worker.lease_sent + lease.task_lease + lease.drift,
              TimerKind::kLeaseBound, worker.info.id);
@@ -327,7 +330,7 @@
                    const WorkerResult& result) {
   const auto it = worker.bookings.find(attempt);
   if (it == worker.bookings.end()) {
-    return;  // settled by a report, or the worker is another's now
+    return;  // resolved by a report, or the worker is no longer owned
   }
   Booking& booking = it->second;
   if (std::holds_alternative<StartDone>(result)) {
@@ -414,7 +417,7 @@
     if (stale == nullptr) {
       OnRenewAnswer(context, worker, purpose.epoch, *renew, result);
     } else if (renew->is_poll && purpose.epoch < worker.epoch) {
-      // This process raised the epoch itself while the renewal was under way.
+      // This process advanced the epoch itself while the renewal was in flight.
       context.At(context.now(), TimerKind::kRenew, worker.info.id);
     }
   }
@@ -489,8 +492,8 @@
   worker.bookings.clear();
   worker.acknowledge.clear();
   worker.go.clear();
-  // The new owner reports what it found there; what it did not find is looked
-  // for.
+  // The new owner reports the attempts that it finds there; the others are
+  // searched for.
   for (const Booking& it : moved) {
     OnAttemptMoved(context, it);
   }
--- a/Source/scheduler/worker_answers.h
+++ b/Source/scheduler/worker_answers.h
@@ -1,4 +1,4 @@
-// What the answers of workers and minions mean for the books.
+// Applies the answers of workers and minions to their records.
 #ifndef BURDOCKROCK_SCHEDULER_WORKER_ANSWERS_H_
 #define BURDOCKROCK_SCHEDULER_WORKER_ANSWERS_H_
 
@@ -15,14 +15,14 @@
                         const WorkerPurpose& purpose,
                         const WorkerResult& result);
 
-// The worker's leases have all lapsed: whatever ran there runs no more.
+// All leases of the worker have lapsed: ends all attempts booked on it.
 void EndAllAttempts(Context& context, WorkerRecord& worker);
 
-// The worker has been silent past its leases: the writers of the journals look
-// for what ran there.
+// The worker was unresponsive until its leases lapsed: the writers of the
+// journals search for the task attempts booked on it.
 void LoseSight(Context& context, WorkerRecord& worker);
 
-// The worker is another's, or gone: forgets what is booked on it.
+// The worker is owned by another member or was removed: drops its bookings.
 void ReleaseWorker(Context& context, WorkerRecord& worker);
 
 }  // namespace burdockrock
--- a/Tests/scheduler/asked_requests.h
+++ b/Tests/scheduler/asked_requests.h
@@ -1,5 +1,5 @@
-// Requests that a test asks for, each known by a key, and the check that what
-// their callers were told is true.
+// Requests submitted by a test, each identified by a key, and the check that
+// their verdicts are true.
 #ifndef BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
 #define BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
 
@@ -17,7 +17,7 @@
 
 namespace burdockrock {
 
-// One minion with 8 slots in each domain, as most of these tests use.
+// Slots of the one minion per domain that most of these tests use.
 inline constexpr int kSlots = 8;
 
 inline Request KeyedRequest(const std::string& key, int sleep_ms) {
@@ -25,7 +25,8 @@
                      ";key=" + key);
 }
 
-// Requests by the key that the recorder counts them by.
+// The submitted requests, by the key under which the recorder counts their
+// runs.
 class Asked {
  public:
   explicit Asked(EntryGroup& group) : group_(group) {}
@@ -53,8 +54,9 @@
     }
   }
 
-  // Every request was answered; who hears "not run" was not run, and who hears
-  // "ran" was run once and has its own answer. Counts the "not run" by reason.
+  // Checks that every request was answered; that one with the verdict "not run"
+  // did not run, and one with "ran" ran once and got its own answer. Returns
+  // the count of "not run" by reason.
   std::map<Reason, int> Check() const {
     std::map<Reason, int> refused;
     for (const auto& it : asked_) {
--- a/Tests/scheduler/claim_failure_test.cc
+++ b/Tests/scheduler/claim_failure_test.cc
@@ -1,5 +1,5 @@
-// Requests that may run once, while entry instances, the platform and minions
-// fail and their callers try again.
+// Non-idempotent requests whose callers retry while entry instances, the
+// platform or minions fail.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -53,7 +53,7 @@
                         kAnswerLimit);
 }
 
-// The reason of a "not run"; kNone for any other answer or none.
+// The reason of a "not run" verdict; kNone for any other verdict or none.
 Reason NotRunReason(const EntryGroup& group, ReplyId reply) {
   const auto verdict = group.VerdictOf(reply);
   const auto* not_run = verdict ? std::get_if<NotRun>(&*verdict) : nullptr;
@@ -67,13 +67,12 @@
 
 }  // namespace
 
-// Symptom: a permit is written twice.
-// Sequence: the first entry is paused, killed or cut from the platform at some
-// moment between the arrival of a request and its end. Its caller retries with
-// the same key at the two others, and at the first one after it is back.
-// Cause: only the first entry knows what it has dispatched, and a paused one
-// goes on as if no time had passed.
-TEST_CASE("a key runs once, whenever its first entry fails") {
+// Guards against a permit that is written twice. The first entry is paused,
+// killed or disconnected from the platform at any moment of a request; its
+// caller retries with the same key at the other two, and at the first one after
+// its recovery. Only the first entry knows what it has dispatched, and after a
+// pause it continues as if no time had passed.
+TEST_CASE("Runs a key at most once whenever its first entry fails") {
   for (const Fault fault :
        {Fault::kPause, Fault::kKill, Fault::kCutFromPlatform}) {
     for (int moment = 0; moment <= 380; moment += 20) {
@@ -103,11 +102,10 @@
   }
 }
 
-// Symptom: a permit is written twice.
-// Sequence: impatient callers send the same key to three entries in the same
-// moment, and again while the first ones are under way.
-// Cause: none of the entries has heard of the others' requests.
-TEST_CASE("entries that race for a key dispatch it once") {
+// Guards against a permit that is written twice when callers send the same key
+// to three entries at the same moment, and again while the first requests are
+// in flight. No entry knows of the requests at the others.
+TEST_CASE("Dispatches a key once when several entries race for it") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     CAPTURE(seed);
     EntryGroup group(
@@ -134,11 +132,10 @@
   }
 }
 
-// Symptom: a key that was never dispatched can't be used any more, or runs
-// twice.
-// Sequence: the platform writes a claim and loses the answer.
-// Cause: the entry can't know whether its claim stands before it reads back.
-TEST_CASE("a claim whose answer is lost neither doubles nor blocks its key") {
+// Guards against a key that runs twice, or that can't be used any more although
+// it was never dispatched. The platform writes a claim and its answer is lost:
+// the entry doesn't know whether the claim was written until it reads back.
+TEST_CASE("Neither repeats nor blocks a key whose claim's answer is lost") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
   group.Submit("d0-e0", PermitRequest("before"));
@@ -158,11 +155,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a caller whose request was refused can't have it run ever.
-// Sequence: the platform writes a claim, loses the answer and goes down; the
-// entry refuses the request; the platform is back and the caller retries.
-// Cause: the claim stands for work that was never dispatched.
-TEST_CASE("a claim that may stand is released when its request is refused") {
+// Guards against a refused request that can never be run. The platform writes a
+// claim, its answer is lost and the platform becomes unavailable, so that the
+// entry refuses the request. When the platform is available again and the
+// caller retries, the claim of work that was never dispatched is still stored.
+TEST_CASE("Releases a claim that may be written when its request is refused") {
   for (const Duration deadline : {seconds(2), seconds(30)}) {
     EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
     REQUIRE(Settle(group));
@@ -191,11 +188,10 @@
   }
 }
 
-// Symptom: a permit is written twice, or its caller hears "not run" though it
-// was written.
-// Sequence: the minion takes the request and its answer is lost.
-// Cause: a lost answer looks the same as a lost command.
-TEST_CASE("a minion's lost answer is told as such and nothing is repeated") {
+// Guards against a permit that is written twice, or whose caller is answered
+// "not run" although it was written. The minion runs the request and its answer
+// is lost, which can't be distinguished from a lost command.
+TEST_CASE("Answers may have run, without a retry, if a run's answer is lost") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
   for (const char* it : {"d0-m0", "d0-m1"}) {
@@ -225,11 +221,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a permit is written twice.
-// Sequence: a request is handed to a peer in another domain since all slots
-// here are taken; each peer message arrives twice, the second one late.
-// Cause: the late copy comes when the first run has ended and is forgotten.
-TEST_CASE("a doubled forward of a key runs it once") {
+// Guards against a permit that is written twice. A request is forwarded to a
+// peer in another domain, as all slots here are occupied, and each message
+// arrives twice: the late duplicate arrives when the first run has ended and
+// its entry was removed.
+TEST_CASE("Runs a key once if its forward arrives twice") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     CAPTURE(seed);
     EntryGroup group({.entries = {1, 1},
@@ -259,11 +255,10 @@
   }
 }
 
-// Symptom: a caller that lost the answer has its request run again.
-// Sequence: a request ran; its entry dies with the answer; the caller retries
-// at another entry.
-// Cause: the answer must be known without the process that gave it.
-TEST_CASE("a retry after the end hears the first answer also from a peer") {
+// Guards against a second run of a request that has ended. Its entry is killed
+// and the caller retries at another one, which must know the answer without the
+// process that gave it.
+TEST_CASE("Answers a retry at another entry with the first answer") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
   const ReplyId first = group.Submit("d0-e0", PermitRequest("p1"));
@@ -276,13 +271,11 @@
   CHECK(group.recorder().ExecutionsOf("p1") == 1);
 }
 
-// Symptom: with the platform down a request that may run once is run
-// unrecorded, waits to its deadline, or is refused also when the platform has
-// been back for long.
-// Sequence: the platform goes down; requests come; it comes back.
-// Cause: a claim can't be recorded, and whether the platform is back shows
-// only by asking it.
-TEST_CASE("without the platform a key is refused, with it the retry runs") {
+// Guards against a non-idempotent request that, while the platform is
+// unavailable, runs without a recorded claim or waits until its deadline, or
+// that is still refused long after the platform has recovered. Claims can't be
+// recorded meanwhile, and only a call to the platform shows the recovery.
+TEST_CASE("Refuses a key without the platform and runs its retry later") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
   group.Submit("d0-e0", PermitRequest("before"));
--- a/Tests/scheduler/failure_checks.h
+++ b/Tests/scheduler/failure_checks.h
@@ -1,4 +1,4 @@
-// What the failure tests submit and look at.
+// Jobs and checks that the failure tests share.
 #ifndef BURDOCKROCK_TESTS_SCHEDULER_FAILURE_CHECKS_H_
 #define BURDOCKROCK_TESTS_SCHEDULER_FAILURE_CHECKS_H_
 
@@ -15,7 +15,7 @@
 
 namespace burdockrock {
 
-// The id of a job that is accepted now; empty when it is not.
+// Submits a job, requires that it is accepted, and returns its id.
 inline std::string AcceptJob(EntryGroup& group,
                              const std::string& entry,
                              const JobSpec& spec) {
@@ -40,8 +40,8 @@
   return ids;
 }
 
-// Starts that did not fit where they were sent. The fake refuses them, so that
-// its books alone would never show that an entry tried.
+// Number of starts that exceeded the capacity of their worker. The fake worker
+// refuses them, so its bookings alone would not show them.
 inline std::uint64_t Overcommits(EntryGroup& group) {
   std::uint64_t total = 0;
   for (const std::string& it : WorkersOf(group)) {
@@ -50,8 +50,7 @@
   return total;
 }
 
-// How often the task of the job was begun that was begun most often, of the
-// attempts that have ended.
+// The highest number of ended attempts of any task of the job.
 inline std::uint32_t MostRuns(EntryGroup& group, const std::string& job) {
   std::map<std::uint32_t, std::uint32_t> runs;
   std::uint32_t most = 0;
@@ -65,7 +64,7 @@
   return most;
 }
 
-// The live entry that owns the worker; empty when none does.
+// The live entry that owns the worker; empty if none does.
 inline std::string OwnerOf(EntryGroup& group, const std::string& worker) {
   for (const std::string& it : group.entries()) {
     if (!group.IsUp(it)) {
@@ -80,7 +79,7 @@
   return "";
 }
 
-// The live entry that writes the journal of the job; empty when none does.
+// The live entry that writes the journal of the job; empty if none does.
 inline std::string WriterOfJob(EntryGroup& group, const std::string& job) {
   for (const std::string& it : group.entries()) {
     if (group.IsUp(it) && !group.faults(it).paused &&
@@ -91,7 +90,7 @@
   return "";
 }
 
-// Runs until the job has no task that waits or runs.
+// Runs until no task of the job is queued, starting or running.
 inline bool RunUntilEnded(EntryGroup& group,
                           const std::string& job,
                           Duration limit) {
--- a/Tests/scheduler/forwarding_test.cc
+++ b/Tests/scheduler/forwarding_test.cc
@@ -1,4 +1,4 @@
-// Requests that are handed to a peer.
+// Requests that are forwarded to a peer.
 #include <doctest/doctest.h>
 
 #include <vector>
@@ -8,13 +8,12 @@
 
 namespace burdockrock {
 
-// Symptom: of 80,000 requests a handful are answered only at their deadline,
-// with "may have run", though no message was lost.
-// Sequence: an entry without a free slot hands a request to a peer whose digest
-// shows free ones; by then they are taken, and the peer refuses.
-// Cause: the refusal was sent under an empty id, as the entry that the id
-// belonged to had been dropped, and the first entry did not know it.
-TEST_CASE("a refused forward comes back and is served here") {
+// Guards against forwarded requests that are answered only at their deadline,
+// with "may have run", although no message was lost (a handful of 80,000). The
+// peer's slots were occupied since its digest, so that it refuses the request.
+// It sent the refusal under an empty id, as the RequestEntry that holds the id
+// had been erased, and the forwarding entry couldn't match it.
+TEST_CASE("Admits a request again after a peer has refused its forward") {
   EntryGroup group({.entries = {2}, .workers = 0, .minions = 2});
   REQUIRE(Settle(group));
   group.Run(std::chrono::seconds(2));
--- a/Tests/scheduler/path_test.cc
+++ b/Tests/scheduler/path_test.cc
@@ -1,4 +1,4 @@
-// The whole path of each kind of work through several entry instances.
+// End-to-end runs of each kind of work through several entry instances.
 #include <doctest/doctest.h>
 
 #include "scheduler/entry_group.h"
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("members share the workers and minions of their domain") {
+TEST_CASE("Divides the workers and minions of a domain among its members") {
   EntryGroup group({.entries = {3, 2}, .workers = 7, .minions = 5});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   for (const std::string& it : group.entries()) {
@@ -23,7 +23,7 @@
   CHECK(group.Violations() == "");
 }
 
-TEST_CASE("a request is answered with its minion's whole answer") {
+TEST_CASE("Answers a request with its minion's complete answer") {
   EntryGroup group({.entries = {2, 2}, .workers = 1, .minions = 4});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   const ReplyId one = group.Submit("d0-e0", DeskRequest("answer=first"));
@@ -33,7 +33,7 @@
   CHECK(group.VerdictOf(two) == Verdict(Ran{.answer = "second"}));
 }
 
-TEST_CASE("a batch larger than one owner's workers runs on all of them") {
+TEST_CASE("Runs a batch larger than one owner's workers on all workers") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   const ReplyId reply = group.Submit("d0-e0", SmallJob(JobKind::kBatch, 60));
@@ -52,7 +52,7 @@
   CHECK(group.Violations() == "");
 }
 
-TEST_CASE("a gang over several owners starts whole") {
+TEST_CASE("Starts a gang across several owners as a whole") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   const ReplyId reply = group.Submit("d0-e1", SmallJob(JobKind::kGang, 40));
@@ -68,7 +68,7 @@
   CHECK(group.Violations() == "");
 }
 
-TEST_CASE("a service keeps running until it is cancelled") {
+TEST_CASE("Keeps a service running until it is cancelled") {
   EntryGroup group({.entries = {2}, .workers = 4});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   JobSpec spec = SmallJob(JobKind::kService, 3);
@@ -89,7 +89,7 @@
   CHECK(group.Violations() == "");
 }
 
-TEST_CASE("work that can run nowhere is refused with what does not fit") {
+TEST_CASE("Refuses work that fits no worker and names the resource") {
   EntryGroup group({.entries = {1}, .workers = 2});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   JobSpec spec = SmallJob(JobKind::kBatch, 1);
@@ -103,7 +103,7 @@
   CHECK(refused->detail.find("memory_mb") != std::string::npos);
 }
 
-TEST_CASE("a key is dispatched once, whichever entry its caller tries") {
+TEST_CASE("Dispatches a key once, whichever entries its caller tries") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(group.RunUntil([&] { return group.IsSettled(); }, seconds(10)));
   Request request = DeskRequest("answer=permit;key=p1");
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -1,5 +1,5 @@
-// What callers of interactive requests are told while minions and peers fail
-// and slots are short.
+// The answers to interactive requests while minions and peers fail and slots
+// are scarce.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -21,12 +21,11 @@
 
 }  // namespace
 
-// Symptom: a request is run twice, or its caller gets another one's answer.
-// Sequence: a minion's machine is gone; the runs that were sent to it are
-// refused and go to another minion. Later the refusals arrive once more, and
-// answers come for calls that nobody made.
-// Cause: the late refusal looks like one of the newer run.
-TEST_CASE("a doubled or unknown answer of a minion changes nothing") {
+// Guards against a request that runs twice or gets the answer of another one.
+// A minion's machine is lost; the runs sent to it are refused and go to another
+// minion. Later the refusals arrive again, as if they were of the newer runs,
+// and so do answers to unknown calls.
+TEST_CASE("Ignores duplicate and unknown answers of minions") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
   std::map<CallId, std::string> calls;
@@ -65,11 +64,11 @@
   CHECK(calls.size() == first.size());
 }
 
-// Symptom: a request runs twice, or its caller is answered twice.
-// Sequence: an entry hands requests to a peer that has just become full; the
-// peer's refusals arrive twice, the second one when the request already runs.
-// Cause: the second refusal looks like one of the later try.
-TEST_CASE("a doubled refusal of a peer changes nothing") {
+// Guards against a request that runs twice or is answered twice. An entry
+// forwards requests to a peer without free slots, and each refusal arrives
+// twice: the second one, which arrives when the request is already running,
+// looks like a refusal of the later attempt.
+TEST_CASE("Ignores a peer's duplicate refusal") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     CAPTURE(seed);
     EntryGroup group({.entries = {1, 1},
@@ -90,10 +89,10 @@
   }
 }
 
-// Symptom: a caller is answered twice, or late by another one's answer.
-// Sequence: a request is still running at its deadline; its answer comes later.
-// Cause: its caller has been told already.
-TEST_CASE("a deadline is kept though the run goes on") {
+// Guards against a caller that is answered late, twice, or with the answer of
+// another request. A request is still running at its deadline, when its caller
+// is answered; the answer of the run arrives later.
+TEST_CASE("Answers at the deadline although the run continues") {
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
@@ -121,11 +120,10 @@
   CHECK(group.state("d0-e0").requests.entries.empty());
 }
 
-// Symptom: "not run" is said of a request that ran.
-// Sequence: the minions' machines are gone but still listed; a newer owner's
-// epoch stands at another minion; a peer that was to help is gone.
-// Cause: each of these looks like a failed run, and may or may not be one.
-TEST_CASE("not run is true when minions and peers can't be reached") {
+// Guards against "not run" for a request that ran. Machines of minions are lost
+// but still listed, another minion has accepted the higher epoch of a newer
+// owner, and a peer is lost: in each case the run may or may not have started.
+TEST_CASE("Says not run truthfully if minions and peers are unreachable") {
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 3});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
@@ -148,11 +146,10 @@
   CHECK(count > 0);
 }
 
-// Symptom: "not run" is said of a request that ran.
-// Sequence: a minion runs a request that may be repeated and its answer is
-// lost. When that shows, no slot is left to repeat it in: the minion leaves.
-// Cause: the refusal of the second try says nothing of the first.
-TEST_CASE("a refused repetition does not hide the first try") {
+// Guards against "not run" for a request that ran. A minion runs an idempotent
+// request and its answer is lost; no slot is left for a retry, as the minion is
+// leaving. The refusal of the retry doesn't apply to the first attempt.
+TEST_CASE("Answers may have run if a retry is refused after a lost answer") {
   for (const bool is_forwarded : {false, true}) {
     CAPTURE(is_forwarded);
     EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 1});
@@ -192,10 +189,10 @@
   }
 }
 
-// Symptom: callers wait to their deadline for a slot that can't come.
-// Sequence: requests wait when the only minion's machine is taken away.
-// Cause: what waits is looked at only when a slot comes free.
-TEST_CASE("requests that wait hear when the last minion is gone") {
+// Guards against callers that wait until their deadline for a slot that can't
+// be released. The only minion is leaving while requests are queued, so that no
+// released slot causes the queue to be checked.
+TEST_CASE("Refuses queued requests when the last minion is leaving") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   Asked asked(group);
@@ -221,12 +218,10 @@
   asked.Check();
 }
 
-// Symptom: "not run" is said of a request that is run later, or a request is
-// left without an answer.
-// Sequence: requests wait for a slot; some reach their deadline, some are
-// cancelled, then the entry is stopped.
-// Cause: the queue still names them.
-TEST_CASE("not run is true of requests that end in the queue") {
+// Guards against "not run" for a request that is run later, and against a
+// request that is never answered. Queued requests reach their deadline or are
+// cancelled, then the entry is drained, while the queue may still contain them.
+TEST_CASE("Says not run truthfully of requests that end in the queue") {
   for (const bool is_stopped : {false, true}) {
     CAPTURE(is_stopped);
     EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
@@ -262,14 +257,15 @@
   }
 }
 
-// Symptom: under overload callers wait to their deadline for a refusal that was
-// known when they asked, and the minions idle or run what nobody waits for.
-// Sequence: four times as many requests arrive as the minion can run.
-// Cause: a queue that is longer than the deadline serves nobody.
-TEST_CASE("under overload the refused hear at once and capacity is used") {
+// Guards against callers that wait until their deadline for a refusal that was
+// predictable on arrival, and against minions that idle or run requests whose
+// deadline has passed. Four times as many requests arrive as the minion can
+// run: a queue longer than the deadline serves no request in time.
+TEST_CASE("Refuses at once under overload and uses the full capacity") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
-  // 8 slots of 20 ms are 400 requests a second; 1600 come for 3 seconds.
+  // 8 slots and runs of 20 ms give 400 requests per second; 1600 per second
+  // arrive for 3 s.
   constexpr int kRequests = 4800;
   constexpr Duration kGap = std::chrono::microseconds(625);
   std::vector<std::pair<ReplyId, Time>> submitted;
@@ -296,10 +292,10 @@
   CHECK(ran >= 1140);  // 95% of 1200
 }
 
-// Symptom: urgent requests wait behind the rest, or the rest never runs.
-// Sequence: a queue of both, urgent ones last to come and more of them coming.
-// Cause: the order of arrival, or of urgency alone.
-TEST_CASE("urgent requests go first and don't starve the rest") {
+// Guards against urgent requests that wait behind others and against others
+// that starve. The queue holds both, the urgent ones arrived last: the order of
+// arrival alone delays them, the order of urgency alone starves the others.
+TEST_CASE("Serves urgent requests first without starving the others") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   std::vector<ReplyId> batch;
@@ -317,7 +313,7 @@
     return sum;
   };
   REQUIRE(group.RunUntil([&] { return count(urgent) == 100; }, seconds(5)));
-  // The first 8 found free slots; of the further 100 picks one in ten.
+  // The first 8 got free slots, and one in ten of the following 100 picks.
   CHECK(count(batch) >= 8 + 9);
   CHECK(count(batch) <= 8 + 20);
   group.Run(seconds(2));
--- a/Tests/scheduler/work_samples.h
+++ b/Tests/scheduler/work_samples.h
@@ -1,4 +1,4 @@
-// Work that the tests of the reducer submit.
+// Sample requests and jobs for the tests of the reducer.
 #ifndef BURDOCKROCK_TESTS_SCHEDULER_WORK_SAMPLES_H_
 #define BURDOCKROCK_TESTS_SCHEDULER_WORK_SAMPLES_H_
 
@@ -48,6 +48,7 @@
       limit);
 }
 
+// Runs until the entries have claimed their workers; false after 60 s.
 inline bool Settle(EntryGroup& group) {
   return group.RunUntil([&] { return group.IsSettled(); },
                         std::chrono::seconds(60));
--- a/Tests/scheduler/worker_failure_test.cc
+++ b/Tests/scheduler/worker_failure_test.cc
@@ -1,5 +1,5 @@
-// Workers that die, pause, lose answers, fail their work or are cut off while
-// tasks run on them.
+// Workers that are lost, pause, lose answers, fail their tasks or become
+// unreachable while tasks run on them.
 #include <doctest/doctest.h>
 
 #include "scheduler/entry_group.h"
@@ -15,11 +15,10 @@
 
 }  // namespace
 
-// Symptom: a batch never ends after a machine is gone, or its tasks run twice.
-// Sequence: a worker with running tasks loses its machine; the platform drops
-// it from the list a second later.
-// Cause: nobody is left who could report the ends of its tasks.
-TEST_CASE("a killed worker's tasks run again on others") {
+// Guards against a batch that never ends, or whose tasks run twice, after the
+// machine of a worker is lost with running tasks. The platform removes it from
+// its list a second later, and no process is left to report the tasks' ends.
+TEST_CASE("Runs the tasks of a lost worker again on others") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -34,11 +33,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a task runs in two places after the platform's list was wrong.
-// Sequence: the list drops a worker whose machine is well and runs long tasks;
-// every entry keeps its connection to it.
-// Cause: the list was taken as proof that the worker's attempts have ended.
-TEST_CASE("a worker that only the list has dropped doubles nothing") {
+// Guards against a task that runs in two places. The platform's list drops a
+// worker that keeps running long tasks and that every entry still reaches: the
+// list is no proof that the attempts of the worker have ended.
+TEST_CASE("Runs no task twice if a healthy worker is dropped from the list") {
   EntryGroup group({.entries = {3}, .workers = 4});
   REQUIRE(Settle(group));
   const std::string job =
@@ -55,11 +53,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: tasks of a worker that stood still run twice.
-// Sequence: a worker's commands stand still past the lease of its tasks while
-// these run on until the lease lapses; then it answers again.
-// Cause: silence does not say that the attempts have ended.
-TEST_CASE("workers paused past their lease and woken double nothing") {
+// Guards against tasks of a stalled worker that run twice. Workers process no
+// commands for longer than the task lease, while the tasks run until the lease
+// lapses, and then answer again: an unresponsive worker is no proof that its
+// attempts have ended.
+TEST_CASE("Runs no task twice if workers stall for longer than their lease") {
   EntryGroup group({.entries = {3}, .workers = 9});
   REQUIRE(Settle(group));
   const std::string job =
@@ -78,10 +76,9 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: tasks run twice when a worker's answers are lost.
-// Sequence: starts take effect on the workers and their answers never come.
-// Cause: a start without an answer was taken as one that did not happen.
-TEST_CASE("a start whose answer is lost is not sent to another worker") {
+// Guards against tasks that run twice. Starts take effect on the workers and
+// their answers are lost: a start without an answer may still have happened.
+TEST_CASE("Sends no start to another worker if its answer is lost") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   for (const std::string& it : WorkersOf(group)) {
@@ -95,10 +92,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a job that can't succeed takes sound workers out of service.
-// Sequence: jobs that fail everywhere run on all workers next to sound ones.
-// Cause: each failure was counted against the worker that it happened on.
-TEST_CASE("jobs that fail everywhere don't quarantine sound workers") {
+// Guards against jobs that can't succeed and cause healthy workers to be
+// quarantined. They run on all workers next to healthy jobs, and their failures
+// must not be counted against the workers on which they happen.
+TEST_CASE("Quarantines few workers for jobs that fail on all of them") {
   EntryGroup group({.entries = {1}, .workers = 10});
   REQUIRE(Settle(group));
   JobSpec bad = SmallJob(JobKind::kBatch, 100);
@@ -129,10 +126,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: nearly all workers are out of service at once.
-// Sequence: many small jobs fail, each too soon to be judged by itself.
-// Cause: past some share the cause is not in the workers.
-TEST_CASE("small bad jobs quarantine no more workers than the cap") {
+// Guards against the quarantine of nearly all workers. Many small jobs fail,
+// each with too few tasks to be judged bad itself; beyond some share of
+// quarantined workers, the workers are not the cause.
+TEST_CASE("Quarantines no more workers than the cap for small bad jobs") {
   EntryGroup group({.entries = {1}, .workers = 10});
   REQUIRE(Settle(group));
   JobSpec bad = SmallJob(JobKind::kBatch, 1);
@@ -151,10 +148,9 @@
   CHECK(most == 2);
 }
 
-// Symptom: one bad job alone takes workers out of service.
-// Sequence: a single job fails on every worker.
-// Cause: failures were counted without regard to whose they are.
-TEST_CASE("one bad job quarantines no worker") {
+// Guards against the quarantine of workers because of a single job that fails
+// on all of them: failures must not be counted regardless of their job.
+TEST_CASE("Quarantines no worker for one bad job") {
   EntryGroup group({.entries = {1}, .workers = 6});
   REQUIRE(Settle(group));
   JobSpec bad = SmallJob(JobKind::kBatch, 200);
@@ -166,12 +162,12 @@
   CHECK(group.LinesOf(EventNumber::kJobJudgedBad).size() == 1);
 }
 
-// Symptom: a worker is sent more than its declared room.
-// Sequence: tasks use eight times what they declare, many more wait than fit,
-// and one of the owners dies, so that another books what it finds running.
-// Cause: what is booked was derived from measured use, or what the worker
-// reported at the claim was not booked.
-TEST_CASE("wrong sizes and a new owner overcommit no worker") {
+// Guards against starts beyond the declared capacity of a worker. Tasks use
+// eight times the resources they declare, many more are queued than fit, and an
+// owner is killed, so that another one books the running tasks. Bookings must
+// not be derived from the measured usage, and must include the attempts that
+// the worker reports at the claim.
+TEST_CASE("Overcommits no worker on wrong task sizes and a new owner") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   JobSpec spec = JobOf(JobKind::kBatch, 200, 3'000);
@@ -188,11 +184,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: work stands still after a whole rack is gone.
-// Sequence: two workers of one rack lose their machines at the same moment,
-// with tasks of a batch and of a gang on them.
-// Cause: as for one worker, and the gang's other members wait for ever.
-TEST_CASE("a rack that is gone takes no accepted work with it") {
+// Guards against jobs that stall after the loss of a rack. Two workers of one
+// rack are lost at the same moment with tasks of a batch and of a gang: as for
+// one worker, and the other members of the gang would wait forever.
+TEST_CASE("Finishes all accepted jobs after a rack is lost") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string gang =
@@ -209,11 +204,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: tasks are lost or doubled when an owner alone can't reach a worker.
-// Sequence: the owner of a worker is cut off from it for a minute; the other
-// members reach both, and the worker runs on until its leases lapse.
-// Cause: the owner can't tell a broken link from a dead worker.
-TEST_CASE("an owner cut off from one worker loses and doubles nothing") {
+// Guards against tasks that are lost or run twice. The owner of a worker can't
+// reach it for a minute while the other members reach both, and the worker's
+// tasks run until their leases lapse. The owner can't distinguish a broken
+// connection from a lost worker.
+TEST_CASE("Loses and repeats no task if an owner can't reach its worker") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string owner = OwnerOf(group, "d0-w0");
@@ -234,10 +229,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a service has fewer tasks than it was asked for.
-// Sequence: the worker under some of its tasks dies.
-// Cause: nothing notices that a task is missing that never ends by itself.
-TEST_CASE("a service is whole again after its worker dies") {
+// Guards against a service with fewer running tasks than requested after a
+// worker with some of them is lost: no end is reported for tasks that never end
+// by themselves.
+TEST_CASE("Restores all tasks of a service after a worker is lost") {
   EntryGroup group({.entries = {2}, .workers = 4});
   REQUIRE(Settle(group));
   JobSpec spec = SmallJob(JobKind::kService, 8);
@@ -261,10 +256,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a gang runs on with a member missing, or one member alone again.
-// Sequence: the worker under some members of a running gang dies.
-// Cause: each task was looked at by itself.
-TEST_CASE("a gang that loses a worker starts again whole") {
+// Guards against a gang that keeps running without some of its tasks, or of
+// which only those are restarted, after their worker is lost: its tasks must
+// not be handled separately.
+TEST_CASE("Restarts the whole gang after a worker is lost") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -284,11 +279,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: most tasks of all jobs fail though one worker only is broken.
-// Sequence: a worker fails every task at once, so that it always has room and
-// draws the next one.
-// Cause: by room alone it is the best choice each time.
-TEST_CASE("a black hole draws little until it is quarantined") {
+// Guards against a single broken worker that fails most tasks of all jobs. It
+// fails every task at once, so that it always has free capacity and is the best
+// choice by free capacity alone.
+TEST_CASE("Starts few tasks on a black hole until it is quarantined") {
   EntryGroup group({.entries = {1}, .workers = 6});
   REQUIRE(Settle(group));
   group.worker("d0-w2").faults().black_hole = true;
@@ -305,8 +299,8 @@
   const auto quarantined = group.LinesOf(EventNumber::kWorkerQuarantined);
   REQUIRE(!quarantined.empty());
   const std::size_t starts = group.worker("d0-w2").executions().size();
-  MESSAGE("starts drawn by the black hole: " << starts << " of "
-                                             << group.recorder().executions());
+  MESSAGE("starts on the black hole: " << starts << " of "
+                                       << group.recorder().executions());
   CHECK(starts <= group.recorder().executions() / 10);
   CHECK(group.Violations() == "");
 }
