--- a/Source/scheduler/requests.h
+++ b/Source/scheduler/requests.h
@@ -57,7 +57,7 @@
   std::array<FairQueue, kUrgencyCount> classes;
   std::array<std::uint64_t, kUrgencyCount> picks{};
   double mean_run_us = 0;  // moving average; 0 until a first run has ended
-  // Admitted requests per microsecond, by class.
+  // Admitted requests per microsecond over about the last second, by class.
   std::array<DecayingRate, kUrgencyCount> taken;
   std::size_t size() const;
 };
