--- a/Source/runtime/caller_edge.cc
+++ b/Source/runtime/caller_edge.cc
@@ -125,21 +125,21 @@
 
 void CallerEdge::GetWork(Call& call) {
   if (const ReplyId reply = Wait(call)) {
-    options_.on_event(
-        WorkAsked{.reply = reply, .id = std::string(call.id), .cancel = false});
+    options_.on_event(WorkQueryArrived{
+        .reply = reply, .id = std::string(call.id), .cancel = false});
   }
 }
 
 void CallerEdge::DeleteWork(Call& call) {
   if (const ReplyId reply = Wait(call)) {
-    options_.on_event(
-        WorkAsked{.reply = reply, .id = std::string(call.id), .cancel = true});
+    options_.on_event(WorkQueryArrived{
+        .reply = reply, .id = std::string(call.id), .cancel = true});
   }
 }
 
 void CallerEdge::GetConfig(Call& call) {
   if (const ReplyId reply = Wait(call)) {
-    options_.on_event(ConfigAsked{.reply = reply});
+    options_.on_event(ConfigRequested{.reply = reply});
   }
 }
 
@@ -167,7 +167,7 @@
     return;
   }
   if (const ReplyId reply = Wait(call)) {
-    options_.on_event(DrainAsked{.reply = reply});
+    options_.on_event(DrainRequested{.reply = reply});
   }
 }
 
--- a/Source/runtime/entry_instance.cc
+++ b/Source/runtime/entry_instance.cc
@@ -52,7 +52,8 @@
            .log = [this](const LogLine& it) { logger_.Write(it); }}),
       peer_client_(io, MakePeerClientOptions()),
       peer_server_(
-          {.on_message = [this](PeerSaid it) { shell_.Handle(std::move(it)); },
+          {.on_message =
+               [this](PeerMessageReceived it) { shell_.Handle(std::move(it)); },
            .log = [this](const LogLine& it) { logger_.Write(it); }}),
       housekeeping_timer_(io) {}
 
@@ -76,7 +77,7 @@
   logger_.Write(
       {.number = EventNumber::kStopping, .fields = {{"cause", "signal"}}});
   BeginDrain();
-  shell_.Handle(DrainAsked());
+  shell_.Handle(DrainRequested());
 }
 
 void EntryInstance::Finish(std::vector<HttpServer*> other_servers) {
@@ -122,7 +123,7 @@
           options_.settings.limits.max_queued_requests),
       .on_event =
           [this](EventBody it) {
-            if (std::holds_alternative<DrainAsked>(it)) {
+            if (std::holds_alternative<DrainRequested>(it)) {
               BeginDrain();
             }
             shell_.Handle(std::move(it));
@@ -138,7 +139,7 @@
   return {.sender = {.from = options_.settings.instance,
                      .incarnation = options_.incarnation,
                      .domain = options_.settings.domain},
-          .on_not_reached = [this](PeerNotReached it) {
+          .on_not_reached = [this](PeerMessageUndelivered it) {
             shell_.Handle(std::move(it));
           }};
 }
--- a/Source/runtime/peer_client.h
+++ b/Source/runtime/peer_client.h
@@ -24,7 +24,7 @@
   PeerSender sender{};  // what each message says of this process
   // For each message that is known not to have been received. Never within
   // Send.
-  std::function<void(PeerNotReached)> on_not_reached{};
+  std::function<void(PeerMessageUndelivered)> on_not_reached{};
 };
 
 // One HTTP request to a peer is in flight at a time; what comes meanwhile goes
--- a/Source/runtime/peer_server.h
+++ b/Source/runtime/peer_server.h
@@ -14,7 +14,7 @@
 namespace burdockrock {
 
 struct PeerServerOptions {
-  std::function<void(PeerSaid)> on_message{};
+  std::function<void(PeerMessageReceived)> on_message{};
   std::function<void(const LogLine&)> log{};
 };
 
--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_news.cc
@@ -30,7 +30,8 @@
   ++context.state().jobs.waiting;
   job.next_queued = std::min(job.next_queued, index);
   ++context.state().counters.retries;
-  context.After(RetryDelay(context, task), TimerKind::kRetryTask, job.id);
+  context.ScheduleAfter(RetryDelay(context, task), TimerKind::kRetryTask,
+                        job.id);
 }
 
 void OnTaskFailed(Context& context,
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -35,7 +35,7 @@
   ConfigState& config = context.state().config;
   config.backoff = std::clamp(config.backoff * 2, kFirstBackoff, kLastBackoff);
   config.retry_at = context.now() + context.Jitter(config.backoff);
-  context.At(config.retry_at, TimerKind::kWatch);
+  context.ScheduleAt(config.retry_at, TimerKind::kWatch);
 }
 
 std::string AuthorOf(const std::string& document) {
@@ -141,7 +141,7 @@
   }
 }
 
-void OnConfigAsked(Context& context, const ConfigAsked& asked) {
+void OnConfigAsked(Context& context, const ConfigRequested& asked) {
   const ConfigState& config = context.state().config;
   if (!config.loaded) {
     context.Answer(
@@ -270,7 +270,7 @@
     return;
   }
   config.backoff = Duration(0);
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 void OnInstancesWatched(Context& context, const PlatformResult& result) {
@@ -285,7 +285,7 @@
     config.backoff = Duration(0);
   }
   ApplyInstances(context, *list);
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -33,7 +33,7 @@
 // Applies a document if it is newer than the one in force.
 void ApplyConfig(Context& context, const ConfigView& view);
 
-void OnConfigAsked(Context& context, const ConfigAsked& asked);
+void OnConfigAsked(Context& context, const ConfigRequested& asked);
 void OnConfigProposed(Context& context, const ConfigProposed& proposed);
 void OnConfigWritten(Context& context,
                      const ConfigWritePurpose& purpose,
--- a/Source/scheduler/context.cc
+++ b/Source/scheduler/context.cc
@@ -54,12 +54,12 @@
   return call;
 }
 
-void Context::At(Time at, TimerKind kind, std::string id) {
+void Context::ScheduleAt(Time at, TimerKind kind, std::string id) {
   state_.timers.Add(at, kind, std::move(id));
 }
 
-void Context::After(Duration wait, TimerKind kind, std::string id) {
-  At(now_ + wait, kind, std::move(id));
+void Context::ScheduleAfter(Duration wait, TimerKind kind, std::string id) {
+  ScheduleAt(now_ + wait, kind, std::move(id));
 }
 
 double Context::Random() {
--- a/Source/scheduler/context.h
+++ b/Source/scheduler/context.h
@@ -41,8 +41,8 @@
                     WorkerPurpose purpose);
 
   // Set a timer; `id` names its worker, job, request or log, see TimerKind.
-  void At(Time at, TimerKind kind, std::string id = "");
-  void After(Duration wait, TimerKind kind, std::string id = "");
+  void ScheduleAt(Time at, TimerKind kind, std::string id = "");
+  void ScheduleAfter(Duration wait, TimerKind kind, std::string id = "");
   void Emit(Effect effect) { effects_.push_back(std::move(effect)); }
 
   // Uniform in [0, 1).
--- a/Source/scheduler/decaying_rate.h
+++ b/Source/scheduler/decaying_rate.h
@@ -6,13 +6,13 @@
 
 namespace burdockrock {
 
-// The weight of each event decreases by a factor of e per kMemory.
+// The weight of each event decreases by a factor of e per kTimeConstant.
 class DecayingRate {
  public:
-  static constexpr Duration kMemory = std::chrono::seconds(1);
+  static constexpr Duration kTimeConstant = std::chrono::seconds(1);
 
   // Counts one event.
-  void Note(Time now);
+  void Record(Time now);
 
   // Events per microsecond.
   double At(Time now) const;
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-void OnDrainAsked(Context& context, const DrainAsked& asked) {
+void OnDrainAsked(Context& context, const DrainRequested& asked) {
   State& state = context.state();
   context.Answer(asked.reply, DrainStarted{});
   if (state.drain.draining) {
@@ -98,8 +98,8 @@
     UpdateOpen(context, worker);
   }
   // The digest tells the peers at once; the review hands the workers over.
-  context.At(context.now(), TimerKind::kDigest);
-  context.At(context.now(), TimerKind::kDrain);
+  context.ScheduleAt(context.now(), TimerKind::kDigest);
+  context.ScheduleAt(context.now(), TimerKind::kDrain);
 }
 
 void OnDrainTimer(Context& context) {
@@ -111,14 +111,14 @@
   if (spent % kOfferInterval < kDrainInterval && HasUnfinishedJobs(state)) {
     OfferJournals(context);
   }
-  ReviewOwnership(context);
+  CheckOwnership(context);
   if (IsComplete(context)) {
     state.drain.complete = true;
     context.Log(EventNumber::kDrainComplete, {});
     context.Emit(StopProcess{});
     return;
   }
-  context.After(kDrainInterval, TimerKind::kDrain);
+  context.ScheduleAfter(kDrainInterval, TimerKind::kDrain);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/dump.cc
+++ b/Source/scheduler/dump.cc
@@ -43,7 +43,7 @@
     Json::Value one(Json::objectValue);
     one["attempt"] = ToString(attempt);
     one["state"] = AttemptStateName(booking.state);
-    one["uncertain"] = booking.uncertain;
+    one["uncertain"] = booking.unverified;
     one["offered_by"] = booking.offered_by;
     value.append(std::move(one));
   }
@@ -63,7 +63,7 @@
   }
   value["free"] = DumpResources(state.placement.free(*worker.index));
   value["open"] = state.placement.open(*worker.index);
-  value["silent"] = worker.silent;
+  value["silent"] = worker.unresponsive;
   value["suspect"] = worker.suspect;
   value["leaving"] = worker.info.leaving;
   value["quarantined"] = worker.health.quarantined;
@@ -80,7 +80,7 @@
   value["alive"] = peer.alive;
   value["leaving"] = peer.leaving || peer.digest.draining;
   value["serving"] = peer.digest.serving;
-  value["struck"] = peer.struck;
+  value["struck"] = peer.refused_work;
   value["digest_ms_ago"] = Age(now, peer.digest_at);
   value["owned"] = peer.digest.owned;
   value["config_revision"] = Number(peer.digest.config_revision);
--- a/Source/scheduler/event.h
+++ b/Source/scheduler/event.h
@@ -46,22 +46,22 @@
 };
 
 // A caller queries the status of a job or request, or cancels it.
-struct WorkAsked {
+struct WorkQueryArrived {
   ReplyId reply = 0;
   std::string id;
   bool cancel = false;
-  auto operator<=>(const WorkAsked&) const = default;
+  auto operator<=>(const WorkQueryArrived&) const = default;
 };
 
 // The caller closed its connection before it was answered.
-struct CallerGone {
+struct CallerDisconnected {
   ReplyId reply = 0;
-  auto operator<=>(const CallerGone&) const = default;
+  auto operator<=>(const CallerDisconnected&) const = default;
 };
 
-struct ConfigAsked {
+struct ConfigRequested {
   ReplyId reply = 0;
-  auto operator<=>(const ConfigAsked&) const = default;
+  auto operator<=>(const ConfigRequested&) const = default;
 };
 
 // A new policy document, to be stored only if the current one has revision
@@ -73,9 +73,9 @@
   auto operator<=>(const ConfigProposed&) const = default;
 };
 
-struct DrainAsked {
+struct DrainRequested {
   ReplyId reply = 0;  // 0: requested by a signal
-  auto operator<=>(const DrainAsked&) const = default;
+  auto operator<=>(const DrainRequested&) const = default;
 };
 
 struct PlatformAnswered {
@@ -90,35 +90,35 @@
   auto operator<=>(const WorkerAnswered&) const = default;
 };
 
-struct PeerSaid {
+struct PeerMessageReceived {
   std::string from;
   std::string incarnation;
   std::string domain;
   PeerMessage message;
-  auto operator<=>(const PeerSaid&) const = default;
+  auto operator<=>(const PeerMessageReceived&) const = default;
 };
 
 // A message is known not to have reached its peer, e.g. because the connection
 // was refused. Messages lost in any other way are not reported.
-struct PeerNotReached {
+struct PeerMessageUndelivered {
   std::string peer;
   PeerMessage message;
-  auto operator<=>(const PeerNotReached&) const = default;
+  auto operator<=>(const PeerMessageUndelivered&) const = default;
 };
 
 using EventBody = std::variant<ProcessStarted,
                                TimerFired,
                                RequestArrived,
                                JobArrived,
-                               WorkAsked,
-                               CallerGone,
-                               ConfigAsked,
+                               WorkQueryArrived,
+                               CallerDisconnected,
+                               ConfigRequested,
                                ConfigProposed,
-                               DrainAsked,
+                               DrainRequested,
                                PlatformAnswered,
                                WorkerAnswered,
-                               PeerSaid,
-                               PeerNotReached>;
+                               PeerMessageReceived,
+                               PeerMessageUndelivered>;
 
 struct Event {
   Time now{0};
--- a/Source/scheduler/forwarding.cc
+++ b/Source/scheduler/forwarding.cc
@@ -15,8 +15,9 @@
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
 
 std::int64_t FreeSlots(const Peer& peer, const std::string& service) {
-  const auto lent = peer.lent.find(service);
-  const std::int64_t forwarded = lent == peer.lent.end() ? 0 : lent->second;
+  const auto sent = peer.forwarded_requests.find(service);
+  const std::int64_t forwarded =
+      sent == peer.forwarded_requests.end() ? 0 : sent->second;
   for (const ServiceRoom& it : peer.digest.services) {
     if (it.service == service) {
       return it.waiting > 0 ? 0 : it.free_slots - forwarded;
@@ -54,11 +55,11 @@
   const Duration age = context.now() - peer.digest_at;
   const bool is_far = peer.domain != context.state().self.domain;
   const Duration oldest = context.policy().membership.digest_max_age *
-                          (is_far ? FarDigestTurns(context) : 1);
+                          (is_far ? FarDigestRotation(context) : 1);
   if (policy.gate && age > oldest) {
     return false;
   }
-  return !policy.one_strike || !peer.struck;
+  return !policy.one_strike || !peer.refused_work;
 }
 
 std::string ChoosePeerForRequest(Context& context, const std::string& service) {
@@ -92,7 +93,9 @@
   entry.state = RequestState::kForwarded;
   entry.forwarded_once = true;
   entry.peer = peer;
-  ++context.state().membership.peers.at(peer).lent[entry.request.service];
+  ++context.state()
+        .membership.peers.at(peer)
+        .forwarded_requests[entry.request.service];
   ++context.state().counters.forwards;
   Request request = entry.request;
   request.deadline = left;
@@ -111,7 +114,7 @@
   }
   RequestEntry& entry = it->second;
   if (const auto* refusal = std::get_if<NotRun>(&answer.answer.verdict)) {
-    state.membership.peers.at(from).struck = true;
+    state.membership.peers.at(from).refused_work = true;
     OnForwardRefused(context, entry, *refusal);
     return;
   }
@@ -120,7 +123,7 @@
   FinishRequest(context, answer.answer.id, answer.answer.verdict);
 }
 
-void OnForwardNotReached(Context& context, const ForwardRequest& forward) {
+void OnForwardUndelivered(Context& context, const ForwardRequest& forward) {
   State& state = context.state();
   const auto it = state.requests.entries.find(forward.request.id);
   if (it == state.requests.entries.end() ||
@@ -129,7 +132,7 @@
   }
   const auto peer = state.membership.peers.find(it->second.peer);
   if (peer != state.membership.peers.end()) {
-    peer->second.struck = true;
+    peer->second.refused_work = true;
   }
   OnForwardRefused(
       context, it->second,
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -30,7 +30,7 @@
       continue;
     }
     const std::int64_t places =
-        CountFitting(need, peer.digest.free - peer.lent_room);
+        CountFitting(need, peer.digest.free - peer.offered_resources);
     if (places > 0) {
       shares.push_back({.peer = id, .places = places});
     }
@@ -130,7 +130,7 @@
     targets = state.placement.PickGang(need, static_cast<std::uint32_t>(local));
   }
   job.hold_until = context.now() + context.policy().gang.hold;
-  context.At(job.hold_until, TimerKind::kGang, job.id);
+  context.ScheduleAt(job.hold_until, TimerKind::kGang, job.id);
   std::uint32_t index = 0;
   for (const TargetIndex it : targets) {
     HoldLocally(context, job, index++, it);
@@ -191,7 +191,7 @@
       StopAttempt(context, job, it);
     }
   }
-  context.At(job.retry_at, TimerKind::kGang, job.id);
+  context.ScheduleAt(job.retry_at, TimerKind::kGang, job.id);
 }
 
 void OnGangTimer(Context& context, const std::string& id) {
--- a/Source/scheduler/health.cc
+++ b/Source/scheduler/health.cc
@@ -64,16 +64,16 @@
   worker.health.probing = false;
   context.Log(EventNumber::kWorkerQuarantined, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
-  context.After(ProbeDelay(context, worker.health), TimerKind::kProbe,
-                worker.info.id);
+  context.ScheduleAfter(ProbeDelay(context, worker.health), TimerKind::kProbe,
+                        worker.info.id);
   ++worker.health.quarantines;
 }
 
 }  // namespace
 
-std::string FailureName(const Context& context,
-                        const WorkerRecord& worker,
-                        const AttemptId& attempt) {
+std::string FailureGroup(const Context& context,
+                         const WorkerRecord& worker,
+                         const AttemptId& attempt) {
   const Ownership& ownership = context.state().ownership;
   const auto failed = worker.bookings.find(attempt);
   if (failed == worker.bookings.end()) {
@@ -81,7 +81,7 @@
   }
   const Duration ran = context.now() - failed->second.confirmed;
   std::set<std::string> outlasting;
-  for (const auto& [other, holder] : ownership.holders) {
+  for (const auto& [other, holder] : ownership.attempt_workers) {
     if (other.job != attempt.job || holder == worker.info.id) {
       continue;
     }
@@ -100,11 +100,11 @@
              : attempt.job;
 }
 
-void NoteEnd(Context& context,
-             WorkerRecord& worker,
-             const std::string& job,
-             bool failed,
-             bool job_is_bad) {
+void RecordAttemptEnd(Context& context,
+                      WorkerRecord& worker,
+                      const std::string& job,
+                      bool failed,
+                      bool job_is_bad) {
   if (failed && job_is_bad) {
     return;
   }
--- a/Source/scheduler/health.h
+++ b/Source/scheduler/health.h
@@ -24,7 +24,7 @@
 struct WorkerHealth {
   // The ends of the last attempts, newest last; at most kHealthWindow.
   struct End {
-    std::string job;  // the FailureName of the attempt
+    std::string job;  // the FailureGroup of the attempt
     bool failed = false;
     auto operator<=>(const End&) const = default;
   };
@@ -44,17 +44,17 @@
 // against this worker separately. Otherwise a worker that fails everything, but
 // gets few distinct jobs, would attract many of their tasks before enough
 // distinct jobs have failed there.
-std::string FailureName(const Context& context,
-                        const WorkerRecord& worker,
-                        const AttemptId& attempt);
+std::string FailureGroup(const Context& context,
+                         const WorkerRecord& worker,
+                         const AttemptId& attempt);
 
 // Records the end of an attempt of `job` on the worker and updates its
 // quarantine. Failures of a job already judged bad are not counted.
-void NoteEnd(Context& context,
-             WorkerRecord& worker,
-             const std::string& job,
-             bool failed,
-             bool job_is_bad);
+void RecordAttemptEnd(Context& context,
+                      WorkerRecord& worker,
+                      const std::string& job,
+                      bool failed,
+                      bool job_is_bad);
 
 // Ends the quarantine of a worker and lets it run one attempt as a probe.
 void OnProbeTimer(Context& context, const std::string& worker);
--- a/Source/scheduler/job_admission.cc
+++ b/Source/scheduler/job_admission.cc
@@ -124,7 +124,7 @@
   job.tasks.resize(job.spec.count);
   job.open = job.spec.count;
   const std::string id = job.id;
-  context.After(kAcceptTimeout, TimerKind::kJobDeadline, id);
+  context.ScheduleAfter(kAcceptTimeout, TimerKind::kJobDeadline, id);
   Job& stored = state.jobs.jobs.emplace(id, std::move(job)).first->second;
   if (stored.spec.key.empty()) {
     RecordJob(context, stored);
@@ -175,8 +175,8 @@
     job->queued = job->spec.count;
     context.state().jobs.waiting += job->spec.count;
     if (job->spec.deadline > Duration(0)) {
-      context.At(job->arrived + job->spec.deadline, TimerKind::kJobDeadline,
-                 id);
+      context.ScheduleAt(job->arrived + job->spec.deadline,
+                         TimerKind::kJobDeadline, id);
     }
     QueueJob(context, *job);
     return;
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -266,7 +266,7 @@
     Job& job = jobs.jobs.at(it);
     if (job.finished) {
       CloseUnended(job);
-      context.After(kFinishedKept, TimerKind::kForgetJob, it);
+      context.ScheduleAfter(kFinishedKept, TimerKind::kForgetJob, it);
     } else {
       OrphanUnended(context, job);
       job.settling = true;
--- a/Source/scheduler/job_status.h
+++ b/Source/scheduler/job_status.h
@@ -20,7 +20,7 @@
 void CancelJob(Context& context, Job& job);
 
 // Asked by a caller; passed to the journal's writer if that is another.
-void OnWorkAsked(Context& context, const WorkAsked& asked);
+void OnWorkAsked(Context& context, const WorkQueryArrived& asked);
 void OnAskWork(Context& context, const std::string& from, const AskWork& ask);
 
 // Answers questions that the writer has not answered in time.
--- a/Source/scheduler/jobs.cc
+++ b/Source/scheduler/jobs.cc
@@ -82,7 +82,7 @@
   job.finished = true;
   context.Log(EventNumber::kJobEnded, {{"job", job.id}});
   AppendTo(context, job.log, RecordOfJob(job), {}, std::nullopt);
-  context.After(kFinishedKept, TimerKind::kForgetJob, job.id);
+  context.ScheduleAfter(kFinishedKept, TimerKind::kForgetJob, job.id);
 }
 
 void OnForgetJobTimer(Context& context, const std::string& id) {
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -58,7 +58,7 @@
   context.Log(EventNumber::kLogAdopted,
               {{"log", name}, {"jobs", std::to_string(found)}});
   StartSearch(context, name);
-  context.After(kEmptyJournalCheck, TimerKind::kJournal, name);
+  context.ScheduleAfter(kEmptyJournalCheck, TimerKind::kJournal, name);
 }
 
 void NotifyAppend(Context& context,
@@ -110,7 +110,7 @@
   const Time next = it->second.log->next_time();
   if (next != kForever && next < it->second.timer_at) {
     it->second.timer_at = next;
-    context.At(std::max(next, context.now()), TimerKind::kLedger, name);
+    context.ScheduleAt(std::max(next, context.now()), TimerKind::kLedger, name);
   }
 }
 
@@ -154,7 +154,7 @@
   const auto [since, inserted] =
       state.jobs.unlisted.emplace(name, context.now());
   if (inserted) {
-    context.After(kUnlistedPatience, TimerKind::kOrphanScan);
+    context.ScheduleAfter(kUnlistedPatience, TimerKind::kOrphanScan);
   }
   return context.now() - since->second < kUnlistedPatience;
 }
@@ -262,7 +262,7 @@
                 {{"log", name}, {"by", progress.fenced_by}});
     ForgetJournal(context, name);
   } else if (progress.closed) {
-    context.After(log.PurgeDelay(), TimerKind::kJournal, name);
+    context.ScheduleAfter(log.PurgeDelay(), TimerKind::kJournal, name);
   } else if (progress.opened) {
     RunLedger(context, name, state.logs.at(name).log->Adopt(context.now()));
   }
@@ -297,7 +297,7 @@
 void OnOrphanScanTimer(Context& context) {
   State& state = context.state();
   if (!IsServing(context) || state.drain.draining) {
-    context.After(kScanRetry, TimerKind::kOrphanScan);
+    context.ScheduleAfter(kScanRetry, TimerKind::kOrphanScan);
     return;
   }
   context.CallPlatform(
@@ -309,7 +309,7 @@
 void OnOrphanScan(Context& context, const PlatformResult& result) {
   const auto* items = std::get_if<KvItems>(&result);
   if (items == nullptr) {
-    context.After(context.Jitter(kScanRetry), TimerKind::kOrphanScan);
+    context.ScheduleAfter(context.Jitter(kScanRetry), TimerKind::kOrphanScan);
     return;
   }
   std::set<std::string> names;
@@ -325,7 +325,8 @@
     }
   }
   if (IsWatcher(context)) {
-    context.After(context.Jitter(kScanInterval), TimerKind::kOrphanScan);
+    context.ScheduleAfter(context.Jitter(kScanInterval),
+                          TimerKind::kOrphanScan);
   }
 }
 
@@ -347,7 +348,7 @@
   state.jobs.journals.erase(name);
   state.jobs.adopting.erase(name);
   state.searches.erase(name);
-  state.dead_logs.push_back(name);
+  state.logs_to_drop.push_back(name);
   ForgetChecks(context, name);
 }
 
@@ -359,7 +360,7 @@
   }
   SlotLog& log = *it->second.log;
   if (log.is_closed()) {
-    context.After(kEmptyJournalCheck, TimerKind::kJournal, name);
+    context.ScheduleAfter(kEmptyJournalCheck, TimerKind::kJournal, name);
     RunLedger(context, name, log.Purge(context.now()));
     return;
   }
@@ -374,7 +375,7 @@
   } else if (may_close) {
     RunLedger(context, name, log.Close(context.now()));
   }
-  context.After(kEmptyJournalCheck, TimerKind::kJournal, name);
+  context.ScheduleAfter(kEmptyJournalCheck, TimerKind::kJournal, name);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/journal_check.cc
+++ b/Source/scheduler/journal_check.cc
@@ -17,7 +17,7 @@
 }
 
 void EndCheck(Context& context, WorkerRecord& worker, const std::string& log) {
-  if (worker.unchecked.erase(log) > 0) {
+  if (worker.unchecked_journals.erase(log) > 0) {
     UpdateOpen(context, worker);
   }
 }
@@ -26,7 +26,7 @@
 
 void CheckJournals(Context& context, WorkerRecord& worker) {
   const State& state = context.state();
-  worker.unchecked.clear();
+  worker.unchecked_journals.clear();
   worker.checked_epoch = worker.epoch;
   if (worker.info.role != InstanceRole::kWorker) {
     return;
@@ -35,7 +35,7 @@
     if (!journal.ready || !HasOpenJobs(state, name)) {
       continue;
     }
-    worker.unchecked.insert(name);
+    worker.unchecked_journals.insert(name);
     AppendTo(context, name, RecordOfGeneration(journal), {.urgent = true},
              CheckAppend{.log = name,
                          .worker = worker.info.id,
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -60,8 +60,8 @@
   digest.owned = state.ownership.owned;
   digest.config_revision = state.config.view.revision;
   digest.instances_revision = state.membership.instances.revision;
-  digest.platform_age = state.platform_ever
-                            ? context.now() - state.platform_seen
+  digest.platform_age = state.platform_ever_answered
+                            ? context.now() - state.platform_last_answer
                             : Duration(std::chrono::hours(1));
   for (const auto& [name, journal] : state.jobs.journals) {
     if (journal.ready) {
@@ -74,8 +74,8 @@
 void SendDigests(Context& context) {
   State& state = context.state();
   const Digest digest = MakeDigest(context);
-  if (digest.serving && state.membership.announced == Time(0)) {
-    state.membership.announced = context.now();
+  if (digest.serving && state.membership.announced_at == Time(0)) {
+    state.membership.announced_at = context.now();
   }
   const bool full = state.membership.peers.size() <= kFullMeshPeers;
   std::map<std::string, std::vector<std::string>> others;
@@ -112,7 +112,7 @@
   }
   if (context.state().membership.peers.at(id).domain ==
       context.state().self.domain) {
-    context.At(context.now(), TimerKind::kOrphanScan);
+    context.ScheduleAt(context.now(), TimerKind::kOrphanScan);
   }
 }
 
@@ -121,12 +121,12 @@
 void CheckPeers(Context& context) {
   State& state = context.state();
   const Duration limit = context.policy().membership.peer_silent;
-  const std::int64_t rotation = FarDigestTurns(context);
+  const std::int64_t rotation = FarDigestRotation(context);
   for (auto& [id, peer] : state.membership.peers) {
     const bool is_far = peer.domain != state.self.domain;
     const Duration timeout =
         is_far ? limit * std::max(rotation, kMinFarTimeoutFactor) : limit;
-    if (peer.alive && context.now() - peer.last_heard > timeout) {
+    if (peer.alive && context.now() - peer.last_received > timeout) {
       peer.alive = false;
       context.Log(EventNumber::kPeerSilent, {{"peer", id}});
       OnPeerLost(context, id);
@@ -137,7 +137,7 @@
     state.membership.members = members;
     ReassignOwners(context);
   }
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 void AddPeer(Context& context,
@@ -168,7 +168,7 @@
   worker.info.leaving = info.leaving || was_leaving;
   if (worker.removed) {
     worker.removed = false;
-    ownership.pending.insert(info.id);
+    ownership.pending_checks.insert(info.id);
   }
   if (worker.info.leaving != was_leaving) {
     UpdateOpen(context, worker);
@@ -193,8 +193,8 @@
     context.Log(EventNumber::kWorkerRemoved, {{"worker", id}});
     UpdateOpen(context, worker);
     const LeasePolicy& lease = context.policy().lease;
-    context.After(kListLag + lease.task_lease + lease.drift,
-                  TimerKind::kLeaseBound, id);
+    context.ScheduleAfter(kListLag + lease.task_lease + lease.drift,
+                          TimerKind::kLeaseBound, id);
   }
 }
 
@@ -205,80 +205,82 @@
   for (const PeerAddress& it : state.self.peers) {
     AddPeer(context, it.id, it.domain, it.address);
   }
-  context.At(context.now(), TimerKind::kDigest);
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kDigest);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 void OnDigestTimer(Context& context) {
   State& state = context.state();
   const MembershipPolicy& policy = context.policy().membership;
   if (context.now() - state.started >= policy.peer_silent) {
-    state.membership.settled = true;
+    state.membership.startup_wait_over = true;
   }
   CheckPeers(context);
   RefuseUnservable(context);
   SendDigests(context);
-  ReviewOwnership(context);
-  context.After(policy.digest, TimerKind::kDigest);
+  CheckOwnership(context);
+  context.ScheduleAfter(policy.digest, TimerKind::kDigest);
 }
 
-bool NotePeer(Context& context, const PeerSaid& said) {
+bool NotePeerMessage(Context& context, const PeerMessageReceived& received) {
   State& state = context.state();
-  if (said.from == state.self.instance) {
+  if (received.from == state.self.instance) {
     return false;
   }
-  AddPeer(context, said.from, said.domain, "");
-  Peer& peer = state.membership.peers[said.from];
-  if (peer.incarnation != said.incarnation) {
-    if (peer.alive && IsOlder(said.incarnation, peer.incarnation)) {
+  AddPeer(context, received.from, received.domain, "");
+  Peer& peer = state.membership.peers[received.from];
+  if (peer.incarnation != received.incarnation) {
+    if (peer.alive && IsOlder(received.incarnation, peer.incarnation)) {
       return false;
     }
     const bool replaced = !peer.incarnation.empty();
-    peer.incarnation = said.incarnation;
+    peer.incarnation = received.incarnation;
     peer.digest = {};
     peer.offer_sequence = 0;
     peer.accepted_sequence = 0;
-    peer.lent.clear();
+    peer.forwarded_requests.clear();
     if (replaced) {
-      OnPeerLost(context, said.from);
+      OnPeerLost(context, received.from);
     }
   }
-  peer.last_heard = context.now();
+  peer.last_received = context.now();
   if (!peer.alive) {
     peer.alive = true;
-    context.Log(EventNumber::kPeerUp,
-                {{"peer", said.from}, {"incarnation", said.incarnation}});
+    context.Log(EventNumber::kPeerUp, {{"peer", received.from},
+                                       {"incarnation", received.incarnation}});
   }
   return true;
 }
 
-void OnDigest(Context& context, const PeerSaid& said, const Digest& digest) {
+void OnDigest(Context& context,
+              const PeerMessageReceived& received,
+              const Digest& digest) {
   State& state = context.state();
-  Peer& peer = state.membership.peers[said.from];
+  Peer& peer = state.membership.peers[received.from];
   if (digest.sequence <= peer.digest.sequence) {
     return;  // late or duplicate: a newer digest is known
   }
   if (digest.draining && !peer.digest.draining) {
-    context.Log(EventNumber::kPeerLeaving, {{"peer", said.from}});
+    context.Log(EventNumber::kPeerLeaving, {{"peer", received.from}});
   }
   const bool role_changed = digest.draining != peer.digest.draining ||
                             digest.serving != peer.digest.serving;
   peer.digest = digest;
   peer.digest_at = context.now();
-  peer.lent.clear();
-  peer.lent_room = {};
-  peer.struck = false;
-  YieldJournals(context, said.from, digest.logs);
+  peer.forwarded_requests.clear();
+  peer.offered_resources = {};
+  peer.refused_work = false;
+  YieldJournals(context, received.from, digest.logs);
   if (role_changed) {
     CheckPeers(context);
-    ReviewOwnership(context);
+    CheckOwnership(context);
   }
   const bool is_behind =
       digest.config_revision > state.config.seen ||
       digest.instances_revision > state.membership.instances.revision;
   if (is_behind && context.now() - peer.pulled_at >= kPullInterval) {
     peer.pulled_at = context.now();
-    context.Send(said.from,
+    context.Send(received.from,
                  PullDocuments{.config_revision = state.config.seen,
                                .instances_revision =
                                    state.membership.instances.revision});
@@ -311,7 +313,7 @@
   RemoveMissing(context, list.instances);
   membership.members = DomainMembers(context);
   ReassignOwners(context);
-  ReviewOwnership(context);
+  CheckOwnership(context);
 }
 
 void OnPullDocuments(Context& context,
@@ -329,10 +331,10 @@
 bool IsServing(const Context& context) {
   const State& state = context.state();
   return state.config.loaded && state.membership.has_instances &&
-         state.membership.settled;
+         state.membership.startup_wait_over;
 }
 
-std::int64_t FarDigestTurns(const Context& context) {
+std::int64_t FarDigestRotation(const Context& context) {
   const State& state = context.state();
   const auto& peers = state.membership.peers;
   if (peers.size() <= kFullMeshPeers) {
@@ -351,8 +353,8 @@
 std::vector<std::string> DomainMembers(const Context& context) {
   const State& state = context.state();
   std::vector<std::string> members;
-  const bool is_announced = state.membership.announced != Time(0) &&
-                            context.now() - state.membership.announced >=
+  const bool is_announced = state.membership.announced_at != Time(0) &&
+                            context.now() - state.membership.announced_at >=
                                 context.policy().membership.digest;
   if (IsServing(context) && is_announced && !state.drain.draining) {
     members.push_back(state.self.instance);
@@ -380,8 +382,8 @@
   const State& state = context.state();
   const std::uint64_t own = StableHash("watcher", state.self.instance);
   const bool own_reaches =
-      !state.platform_ever || state.platform_ok ||
-      context.now() - state.platform_seen < kMaxWatcherPlatformAge;
+      !state.platform_ever_answered || state.platform_ok ||
+      context.now() - state.platform_last_answer < kMaxWatcherPlatformAge;
   for (const auto& [id, peer] : state.membership.peers) {
     if (!IsDomainPeer(context, peer) || peer.digest.draining) {
       continue;
--- a/Source/scheduler/membership.h
+++ b/Source/scheduler/membership.h
@@ -22,16 +22,16 @@
   std::string domain;
   std::string address;
   std::string incarnation;  // empty until its first message
-  Time last_heard{0};
+  Time last_received{0};
   bool alive = false;
   bool leaving = false;  // according to the platform's list; never reset
   Digest digest;
   Time digest_at{0};
   // Requests forwarded and resources offered to it since its digest: its free
   // capacity is smaller than the digest reports by that much.
-  std::map<std::string, std::int64_t> lent;
-  Resources lent_room;
-  bool struck = false;                  // it refused work since its digest
+  std::map<std::string, std::int64_t> forwarded_requests;
+  Resources offered_resources;
+  bool refused_work = false;            // it refused work since its digest
   std::uint64_t offer_sequence = 0;     // of the last offer sent to it
   std::uint64_t accepted_sequence = 0;  // of the last offer accepted from it
   Time pulled_at{0};                    // when it was last sent PullDocuments
@@ -42,12 +42,13 @@
   std::uint64_t digest_sequence = 0;
   InstanceList instances;
   bool has_instances = false;
-  bool settled = false;  // live peers had time to send a digest after the start
+  // Live peers have had time to send a digest since the start.
+  bool startup_wait_over = false;
   // When the peers were first informed that this process serves. It claims
   // workers one digest interval later: by then the members that start at the
   // same time know each other, and none claims a worker that it would hand over
   // at once.
-  Time announced{0};
+  Time announced_at{0};
   std::vector<std::string> members;  // of the own domain, as last checked
 };
 
@@ -57,12 +58,14 @@
 // Checks which peers are alive, sends digests, and sets the next digest timer.
 void OnDigestTimer(Context& context);
 
-void OnDigest(Context& context, const PeerSaid& said, const Digest& digest);
+void OnDigest(Context& context,
+              const PeerMessageReceived& received,
+              const Digest& digest);
 
-// Records that `said.from` is alive under this incarnation. False if the
+// Records that `received.from` is alive under this incarnation. False if the
 // message is from an older incarnation, or from this instance, and must be
 // dropped.
-bool NotePeer(Context& context, const PeerSaid& said);
+bool NotePeerMessage(Context& context, const PeerMessageReceived& received);
 
 // Applies a list of instances if it is newer than the known one.
 void ApplyInstances(Context& context, const InstanceList& list);
@@ -85,7 +88,7 @@
 // In a large deployment a member of another domain sends each digest to only
 // one member here, in rotation. The length of that rotation, by which timeouts
 // and the maximum age of digests are multiplied; 1 in a small deployment.
-std::int64_t FarDigestTurns(const Context& context);
+std::int64_t FarDigestRotation(const Context& context);
 
 // Whether the peer is alive and in the own domain.
 bool IsDomainPeer(const Context& context, const Peer& peer);
--- a/Source/scheduler/ownership.cc
+++ b/Source/scheduler/ownership.cc
@@ -42,16 +42,16 @@
 // only after kHandoverTimeout.
 bool MayClaim(Context& context, WorkerRecord& worker) {
   if (context.now() < worker.claim_after ||
-      context.now() < worker.quiet_until) {
+      context.now() < worker.claim_backoff_until) {
     return false;
   }
   if (!OwnerIsAlive(context, worker)) {
     return true;
   }
-  if (worker.wanted_since == Time(0)) {
-    worker.wanted_since = context.now();
+  if (worker.desired_since == Time(0)) {
+    worker.desired_since = context.now();
   }
-  return context.now() - worker.wanted_since > kHandoverTimeout;
+  return context.now() - worker.desired_since > kHandoverTimeout;
 }
 
 void SendClaim(Context& context, WorkerRecord& worker) {
@@ -127,22 +127,22 @@
   for (auto& [id, worker] : state.ownership.workers) {
     const auto it = owners.find(id);
     worker.desired = it == owners.end() ? "" : it->second;
-    state.ownership.pending.insert(id);
+    state.ownership.pending_checks.insert(id);
   }
 }
 
-void ReviewOwnership(Context& context) {
+void CheckOwnership(Context& context) {
   State& state = context.state();
   if (!IsServing(context)) {
     return;
   }
   std::set<std::string> pending;
-  pending.swap(state.ownership.pending);
+  pending.swap(state.ownership.pending_checks);
   for (const std::string& id : pending) {
     const auto it = state.ownership.workers.find(id);
     if (it != state.ownership.workers.end() &&
         !CheckWorker(context, it->second)) {
-      state.ownership.pending.insert(id);
+      state.ownership.pending_checks.insert(id);
     }
   }
 }
@@ -154,12 +154,12 @@
     return;
   }
   WorkerRecord& record = it->second;
-  if (record.silent && IsOurs(record) && !record.claim_in_flight) {
+  if (record.unresponsive && IsOurs(record) && !record.claim_in_flight) {
     SendClaim(context, record);
     return;
   }
   if (!CheckWorker(context, record)) {
-    state.ownership.pending.insert(worker);
+    state.ownership.pending_checks.insert(worker);
   }
 }
 
@@ -182,7 +182,7 @@
   }
   worker.epoch = handover.epoch;
   worker.owner.clear();
-  worker.quiet_until = Time(0);
+  worker.claim_backoff_until = Time(0);
   context.Log(EventNumber::kHandedOver,
               {{"worker", handover.worker}, {"from", from}});
   SendClaim(context, worker);
@@ -195,12 +195,12 @@
   // A worker that is being handed over stays open until the other member has
   // claimed it: a start in the meantime is either executed or refused, and a
   // handover that is not accepted leaves no worker idle.
-  const bool is_open = IsOurs(worker) && !worker.info.leaving &&
-                       !worker.removed && !worker.silent && !worker.suspect &&
-                       !worker.claim_in_flight && worker.unchecked.empty() &&
-                       !worker.health.quarantined &&
-                       !(worker.health.probing && !worker.bookings.empty()) &&
-                       !context.state().drain.draining;
+  const bool is_open =
+      IsOurs(worker) && !worker.info.leaving && !worker.removed &&
+      !worker.unresponsive && !worker.suspect && !worker.claim_in_flight &&
+      worker.unchecked_journals.empty() && !worker.health.quarantined &&
+      !(worker.health.probing && !worker.bookings.empty()) &&
+      !context.state().drain.draining;
   const bool was_open = context.state().placement.open(*worker.index);
   context.state().placement.SetOpen(*worker.index, is_open);
   if (is_open && !was_open) {
@@ -223,7 +223,7 @@
 Booking& AddBooking(Context& context, WorkerRecord& worker, Booking booking) {
   const AttemptId attempt = booking.attempt;
   if (!booking.is_request) {
-    context.state().ownership.holders[attempt] = worker.info.id;
+    context.state().ownership.attempt_workers[attempt] = worker.info.id;
   }
   return worker.bookings.emplace(attempt, std::move(booking)).first->second;
 }
@@ -239,7 +239,7 @@
     context.state().placement.Give(*worker.index, it->second.resources);
     context.state().tasks.wanted = true;
   }
-  context.state().ownership.holders.erase(attempt);
+  context.state().ownership.attempt_workers.erase(attempt);
   worker.bookings.erase(it);
 }
 
@@ -267,7 +267,7 @@
 }
 
 void RenewNow(Context& context, WorkerRecord& worker) {
-  if (!IsOurs(worker) || worker.silent) {
+  if (!IsOurs(worker) || worker.unresponsive) {
     return;
   }
   RenewCommand renew{.epoch = worker.epoch,
@@ -289,7 +289,8 @@
   WorkerRecord& worker = it->second;
   // The leases of a worker removed from the list are no longer renewed: its
   // attempts then end at a known time, even if the list is wrong.
-  if (!IsOurs(worker) || worker.poll != 0 || worker.silent || worker.removed) {
+  if (!IsOurs(worker) || worker.poll != 0 || worker.unresponsive ||
+      worker.removed) {
     return;
   }
   const LeasePolicy& lease = context.policy().lease;
@@ -313,9 +314,9 @@
   UpdateOpen(context, worker);
 }
 
-bool IsSettled(const Context& context, const WorkerRecord& worker) {
+bool IsOwnedAndResponsive(const Context& context, const WorkerRecord& worker) {
   static_cast<void>(context);
-  return IsOurs(worker) && !worker.silent && !worker.claim_in_flight &&
+  return IsOurs(worker) && !worker.unresponsive && !worker.claim_in_flight &&
          !worker.removed;
 }
 
@@ -331,7 +332,7 @@
   if (worker.removed) {
     const Time lapsed_at = worker.removed_at + kListLag + bound;
     if (context.now() < lapsed_at) {
-      context.At(lapsed_at, TimerKind::kLeaseBound, id);
+      context.ScheduleAt(lapsed_at, TimerKind::kLeaseBound, id);
       return;
     }
     EndAllAttempts(context, worker);
@@ -343,8 +344,8 @@
   // The attempts may still be running although all leases of this process have
   // lapsed: another member may have claimed the worker while this process was
   // paused. They are searched for instead of being declared ended.
-  if (worker.silent && context.now() >= worker.lease_sent + bound) {
-    LoseSight(context, worker);
+  if (worker.unresponsive && context.now() >= worker.lease_sent + bound) {
+    OrphanLiveAttempts(context, worker);
   }
 }
 
--- a/Source/scheduler/ownership.h
+++ b/Source/scheduler/ownership.h
@@ -40,12 +40,13 @@
   bool is_request = false;  // dispatched by RunCommand
   // When the worker first reported the attempt; 0: not yet.
   Time confirmed{0};
-  bool uncertain = false;  // the answer to the start was lost
+  bool unverified = false;  // the answer to the start was lost
   bool holds_room = true;
   std::string offered_by;  // the peer that offered it; empty for this process
   std::uint64_t offer_sequence = 0;
   Time sent{0};
-  Time told{0};  // when the end was last sent to the journal's writer
+  // When the end was last sent to the journal's writer.
+  Time end_reported_at{0};
 };
 
 enum class OwnerState {
@@ -62,23 +63,23 @@
   Epoch epoch = 0;                   // the highest known
   // Journals for which this process hasn't verified that it is still the
   // writer since it claimed the worker, and the epoch of that claim.
-  std::set<std::string> unchecked;
+  std::set<std::string> unchecked_journals;
   Epoch checked_epoch = 0;
-  std::string owner;          // OwnerName of the claimant of that epoch
-  Time quiet_until{0};        // no claim before, as another member took it
-  std::uint32_t deposed = 0;  // how often another member took it
-  Time wanted_since{0};       // assigned to this process, owned by another
-  std::string desired;        // the member it is assigned to
+  std::string owner;            // OwnerName of the claimant of that epoch
+  Time claim_backoff_until{0};  // not claimed again before
+  std::uint32_t ownership_losses = 0;  // how often another member claimed it
+  Time desired_since{0};  // assigned to this process, owned by another
+  std::string desired;    // the member it is assigned to
   bool claim_in_flight = false;
   std::uint32_t claim_refusals = 0;
   Time claim_after{0};
-  bool suspect = false;  // a command failed since its last answer
-  bool silent = false;   // no answer for longer than lease.worker_silent
-  bool removed = false;  // no longer in the platform's list
+  bool suspect = false;       // a command failed since its last answer
+  bool unresponsive = false;  // no answer for longer than lease.worker_silent
+  bool removed = false;       // no longer in the platform's list
   Time removed_at{0};
   Time last_answer{0};
   // When the last command was sent whose answer verified the ownership.
-  Time proven{0};
+  Time ownership_verified_at{0};
   Time lease_sent{0};         // when a lease was last given or renewed
   CallId poll = 0;            // the outstanding long poll; 0 if there is none
   std::uint64_t version = 0;  // of the last report received
@@ -97,8 +98,8 @@
   std::map<std::string, WorkerRecord> workers;  // of the own failure domain
   std::uint32_t owned = 0;
   // The worker of each booked task attempt.
-  std::unordered_map<AttemptId, std::string, AttemptIdHash> holders;
-  std::set<std::string> pending;  // workers to check next
+  std::unordered_map<AttemptId, std::string, AttemptIdHash> attempt_workers;
+  std::set<std::string> pending_checks;  // workers to check next
 };
 
 // The name under which a process claims workers: "INSTANCE~INCARNATION". A
@@ -118,7 +119,7 @@
 
 // Claims workers that are assigned to this process, and offers owned ones that
 // are assigned to another.
-void ReviewOwnership(Context& context);
+void CheckOwnership(Context& context);
 
 void OnClaimTimer(Context& context, const std::string& worker);
 void OnRenewTimer(Context& context, const std::string& worker);
@@ -158,7 +159,7 @@
 
 // Whether this process owns the worker, isn't claiming it, and the worker is
 // listed and responsive.
-bool IsSettled(const Context& context, const WorkerRecord& worker);
+bool IsOwnedAndResponsive(const Context& context, const WorkerRecord& worker);
 
 }  // namespace burdockrock
 
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -71,28 +71,28 @@
 
 struct PeerMessageHandler {
   Context& context;
-  const PeerSaid& said;
+  const PeerMessageReceived& received;
 
   void operator()(const Digest& message) const {
-    OnDigest(context, said, message);
+    OnDigest(context, received, message);
   }
   void operator()(const ForwardRequest& message) const {
-    OnForwardRequest(context, said.from, message);
+    OnForwardRequest(context, received.from, message);
   }
   void operator()(const ForwardAnswer& message) const {
-    OnForwardAnswer(context, said.from, message);
+    OnForwardAnswer(context, received.from, message);
   }
   void operator()(const CancelForward& message) const {
     OnCancelForward(context, message);
   }
   void operator()(const TaskOffer& message) const {
-    OnTaskOffer(context, said.from, message);
+    OnTaskOffer(context, received.from, message);
   }
   void operator()(const TaskRefused& message) const {
-    OnTaskRefused(context, said.from, message);
+    OnTaskRefused(context, received.from, message);
   }
   void operator()(const TaskUpdate& message) const {
-    OnTaskUpdate(context, said.from, message);
+    OnTaskUpdate(context, received.from, message);
   }
   void operator()(const TaskAcknowledged& message) const {
     OnTaskAcknowledged(context, message.attempt);
@@ -101,22 +101,22 @@
     OnTaskGo(context, message.attempt);
   }
   void operator()(const TaskStop& message) const {
-    OnTaskStop(context, said.from, message.attempt);
+    OnTaskStop(context, received.from, message.attempt);
   }
   void operator()(const Handover& message) const {
-    OnHandover(context, said.from, message);
+    OnHandover(context, received.from, message);
   }
   void operator()(const AttemptSearch& message) const {
-    OnAttemptSearch(context, said.from, message);
+    OnAttemptSearch(context, received.from, message);
   }
   void operator()(const AttemptSearchAnswer& message) const {
-    OnAttemptSearchAnswer(context, said.from, message);
+    OnAttemptSearchAnswer(context, received.from, message);
   }
   void operator()(const AdoptLog& message) const {
     AdoptJournal(context, message.log);
   }
   void operator()(const PullDocuments& message) const {
-    OnPullDocuments(context, said.from, message);
+    OnPullDocuments(context, received.from, message);
   }
   void operator()(const ConfigDocument& message) const {
     ApplyConfig(context, message.view);
@@ -125,7 +125,7 @@
     ApplyInstances(context, message.list);
   }
   void operator()(const AskWork& message) const {
-    OnAskWork(context, said.from, message);
+    OnAskWork(context, received.from, message);
   }
   void operator()(const AskWorkAnswer& message) const {
     OnAskWorkAnswer(context, message);
@@ -165,15 +165,15 @@
   State& state = context.state();
   const auto* lost = std::get_if<PlatformUnavailable>(&result);
   if (lost == nullptr) {
-    if (!state.platform_ok && state.platform_ever) {
+    if (!state.platform_ok && state.platform_ever_answered) {
       context.Log(EventNumber::kPlatformBack, {});
     }
     state.platform_ok = true;
-    state.platform_ever = true;
-    state.platform_seen = context.now();
+    state.platform_ever_answered = true;
+    state.platform_last_answer = context.now();
     return;
   }
-  if (state.platform_ok || !state.platform_ever) {
+  if (state.platform_ok || !state.platform_ever_answered) {
     context.Log(EventNumber::kPlatformUnreachable, {{"detail", lost->message}});
   }
   state.platform_ok = false;
@@ -185,9 +185,9 @@
   void operator()(const ProcessStarted& /*event*/) const {
     context.state().started = context.now();
     StartMembership(context);
-    context.After(kFirstOffersDelay, TimerKind::kOffers);
-    context.After(context.policy().membership.peer_silent,
-                  TimerKind::kOrphanScan);
+    context.ScheduleAfter(kFirstOffersDelay, TimerKind::kOffers);
+    context.ScheduleAfter(context.policy().membership.peer_silent,
+                          TimerKind::kOrphanScan);
   }
   void operator()(const TimerFired& /*event*/) const {
     while (const auto timer = context.state().timers.PopDue(context.now())) {
@@ -200,15 +200,17 @@
   void operator()(const JobArrived& event) const {
     OnJobArrived(context, event);
   }
-  void operator()(const WorkAsked& event) const { OnWorkAsked(context, event); }
-  void operator()(const CallerGone& /*event*/) const {}
-  void operator()(const ConfigAsked& event) const {
+  void operator()(const WorkQueryArrived& event) const {
+    OnWorkAsked(context, event);
+  }
+  void operator()(const CallerDisconnected& /*event*/) const {}
+  void operator()(const ConfigRequested& event) const {
     OnConfigAsked(context, event);
   }
   void operator()(const ConfigProposed& event) const {
     OnConfigProposed(context, event);
   }
-  void operator()(const DrainAsked& event) const {
+  void operator()(const DrainRequested& event) const {
     OnDrainAsked(context, event);
   }
   void operator()(const PlatformAnswered& event) const {
@@ -226,24 +228,24 @@
   void operator()(const WorkerAnswered& event) const {
     OnWorkerAnswered(context, event);
   }
-  void operator()(const PeerSaid& event) const {
-    if (NotePeer(context, event)) {
-      std::visit(PeerMessageHandler{.context = context, .said = event},
+  void operator()(const PeerMessageReceived& event) const {
+    if (NotePeerMessage(context, event)) {
+      std::visit(PeerMessageHandler{.context = context, .received = event},
                  event.message);
     }
   }
-  void operator()(const PeerNotReached& event) const {
+  void operator()(const PeerMessageUndelivered& event) const {
     if (const auto* forward = std::get_if<ForwardRequest>(&event.message)) {
-      OnForwardNotReached(context, *forward);
+      OnForwardUndelivered(context, *forward);
     }
   }
 };
 
 void EraseDroppedLogs(State& state) {
-  for (const std::string& it : state.dead_logs) {
+  for (const std::string& it : state.logs_to_drop) {
     state.logs.erase(it);
   }
-  state.dead_logs.clear();
+  state.logs_to_drop.clear();
 }
 
 }  // namespace
--- a/Source/scheduler/request_admission.cc
+++ b/Source/scheduler/request_admission.cc
@@ -46,7 +46,7 @@
       (service_rate *
        std::max(context.policy().urgency.batch_share, kMinSlotShare));
   for (std::size_t it = 0; it < own; ++it) {
-    higher_rate += queue.taken[it].At(context.now());
+    higher_rate += queue.admission_rates[it].At(context.now());
     ahead += queue.classes[it].size();
   }
   const double remaining_rate =
@@ -148,7 +148,7 @@
     return worker.info.role == InstanceRole::kMinion &&
            worker.info.service == service &&
            worker.state == OwnerState::kOwned && !worker.info.leaving &&
-           !worker.removed && !worker.silent;
+           !worker.removed && !worker.unresponsive;
   });
 }
 
@@ -200,7 +200,7 @@
     RefuseRequest(context, id, *refusal);
     return;
   }
-  context.At(entry.deadline, TimerKind::kRequestDeadline, id);
+  context.ScheduleAt(entry.deadline, TimerKind::kRequestDeadline, id);
   if (it->second.request.idempotent || !it->second.origin.empty()) {
     AdmitRequest(context, it->second);
     return;
@@ -251,9 +251,9 @@
                      .arrived = context.now(),
                      .deadline = context.now() + forward.request.deadline,
                      .forwarded_once = true};
-  auto& taken = context.state().requests.taken_forwards;
+  auto& accepted = context.state().requests.accepted_forwards;
   const Time expiry = entry.deadline + kForwardDuplicateWindow;
-  if (!taken.emplace(entry.request.id, expiry).second) {
+  if (!accepted.emplace(entry.request.id, expiry).second) {
     return;  // duplicate: the first message is answered
   }
   Accept(context, entry);
@@ -261,7 +261,7 @@
 
 void AdmitRequest(Context& context, RequestEntry& entry) {
   ServiceQueue& queue = QueueOf(context, entry.request.service);
-  queue.taken[ClassOf(entry)].Note(context.now());
+  queue.admission_rates[ClassOf(entry)].Record(context.now());
   const bool has_waiting = queue.size() > 0;
   if (!has_waiting && TryDispatch(context, entry)) {
     return;
@@ -303,7 +303,7 @@
 }
 
 void ForgetOldForwards(Context& context) {
-  std::erase_if(context.state().requests.taken_forwards,
+  std::erase_if(context.state().requests.accepted_forwards,
                 [&](const auto& it) { return it.second < context.now(); });
 }
 
--- a/Source/scheduler/request_runs.cc
+++ b/Source/scheduler/request_runs.cc
@@ -120,7 +120,7 @@
   AdmitRequest(context, entry);
 }
 
-void OnRunUncertain(Context& context, const std::string& id) {
+void OnRunUnverified(Context& context, const std::string& id) {
   State& state = context.state();
   const auto it = state.requests.entries.find(id);
   if (it == state.requests.entries.end()) {
@@ -129,18 +129,18 @@
   RequestEntry& entry = it->second;
   const auto minion = state.ownership.workers.find(entry.minion);
   const bool can_verify = minion != state.ownership.workers.end() &&
-                          IsSettled(context, minion->second);
+                          IsOwnedAndResponsive(context, minion->second);
   if (!can_verify || !entry.request.idempotent || entry.answered) {
     FinishRequest(context, id,
                   MayHaveRun{.reason = Reason::kConnectionLost,
                              .detail = "the minion's answer was lost"});
     return;
   }
-  entry.state = RequestState::kSettling;
+  entry.state = RequestState::kUnverified;
   entry.may_have_run = true;
 }
 
-void OnRunVanished(Context& context, const AttemptId& attempt) {
+void OnRunLost(Context& context, const AttemptId& attempt) {
   State& state = context.state();
   const std::string id = RequestOfAttempt(attempt);
   const auto it = state.requests.entries.find(id);
--- a/Source/scheduler/request_runs.h
+++ b/Source/scheduler/request_runs.h
@@ -25,10 +25,10 @@
 
 // The answer to a run was lost. If the request is idempotent and its minion
 // responsive, the minion's next report decides; else the request is finished.
-void OnRunUncertain(Context& context, const std::string& id);
+void OnRunUnverified(Context& context, const std::string& id);
 
 // The minion doesn't run the attempt (any more) and its answer was lost.
-void OnRunVanished(Context& context, const AttemptId& attempt);
+void OnRunLost(Context& context, const AttemptId& attempt);
 
 }  // namespace burdockrock
 
--- a/Source/scheduler/requests.cc
+++ b/Source/scheduler/requests.cc
@@ -204,7 +204,7 @@
       RefuseRequest(context, id, late);
       return;
     case RequestState::kForwarded:
-    case RequestState::kSettling:
+    case RequestState::kUnverified:
       FinishRequest(context, id,
                     MayHaveRun{.reason = Reason::kDeadline,
                                .detail = "no answer before the deadline"});
@@ -236,7 +236,7 @@
   }
   const RequestState at = it->second.state;
   const bool is_out = at == RequestState::kRunning ||
-                      at == RequestState::kSettling ||
+                      at == RequestState::kUnverified ||
                       at == RequestState::kForwarded;
   WorkStatus status{.id = id, .is_request = true, .count = 1};
   status.state = is_out ? WorkState::kRunning : WorkState::kQueued;
@@ -273,7 +273,7 @@
       context.Send(entry.peer, CancelForward{.id = id});
       break;
     case RequestState::kRunning:
-    case RequestState::kSettling: {
+    case RequestState::kUnverified: {
       const auto minion = state.ownership.workers.find(entry.minion);
       if (minion != state.ownership.workers.end()) {
         CommandWorker(context, minion->second,
--- a/Source/scheduler/requests.h
+++ b/Source/scheduler/requests.h
@@ -24,11 +24,11 @@
 struct Booking;
 
 enum class RequestState {
-  kClaiming,   // its idempotency key is being recorded
-  kQueued,     // waits for a slot of an owned minion
-  kRunning,    // dispatched to a minion
-  kSettling,   // the minion's answer was lost; it may or may not be running
-  kForwarded,  // sent to a peer
+  kClaiming,    // its idempotency key is being recorded
+  kQueued,      // waits for a slot of an owned minion
+  kRunning,     // dispatched to a minion
+  kUnverified,  // the minion's answer was lost; it may or may not be running
+  kForwarded,   // sent to a peer
 };
 
 // A request that is known here until it has its verdict.
@@ -58,7 +58,7 @@
   std::array<std::uint64_t, kUrgencyCount> picks{};
   double mean_run_us = 0;  // moving average; 0 until a first run has ended
   // Admitted requests per microsecond over about the last second, by class.
-  std::array<DecayingRate, kUrgencyCount> taken;
+  std::array<DecayingRate, kUrgencyCount> admission_rates;
   std::size_t size() const;
 };
 
@@ -68,7 +68,7 @@
   // Forwarded requests that were accepted, with the time until which a
   // duplicate of the message may arrive: it must not run the request again
   // after the first run has ended.
-  std::map<std::string, Time> taken_forwards;
+  std::map<std::string, Time> accepted_forwards;
   double retry_tokens = 10;
   std::uint64_t next_id = 1;
 };
@@ -76,7 +76,7 @@
 void OnForwardAnswer(Context& context,
                      const std::string& from,
                      const ForwardAnswer& answer);
-void OnForwardNotReached(Context& context, const ForwardRequest& forward);
+void OnForwardUndelivered(Context& context, const ForwardRequest& forward);
 void OnCancelForward(Context& context, const CancelForward& cancel);
 void OnRequestDeadline(Context& context, const std::string& id);
 
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -39,13 +39,13 @@
 // `since`.
 bool IsOwnershipVerified(const WorkerRecord& worker, Time since) {
   return IsOurs(worker) && !worker.removed && !worker.claim_in_flight &&
-         worker.proven >= since;
+         worker.ownership_verified_at >= since;
 }
 
 // Whether all leases that this process gave the worker lapsed at least
 // kRoundWindow ago.
 bool HasLapsed(const Context& context, const WorkerRecord& worker) {
-  const bool may_renew = IsOurs(worker) && !worker.silent;
+  const bool may_renew = IsOurs(worker) && !worker.unresponsive;
   return !may_renew &&
          context.now() > worker.lease_sent + LeaseBound(context) + kRoundWindow;
 }
@@ -268,7 +268,7 @@
   state.jobs.fences[log] = journal->second.generation;
   state.searches[log] = {.generation = journal->second.generation,
                          .started = context.now()};
-  context.At(context.now(), TimerKind::kSearch, log);
+  context.ScheduleAt(context.now(), TimerKind::kSearch, log);
 }
 
 void OnSearchTimer(Context& context, const std::string& log) {
@@ -295,7 +295,7 @@
   search.next_round =
       context.now() +
       (round < kFirstRoundCount ? kFirstRoundInterval : kLaterRoundInterval);
-  context.At(search.next_round, TimerKind::kSearch, log);
+  context.ScheduleAt(search.next_round, TimerKind::kSearch, log);
   ApplySearchAnswer(context, context.self(), MakeSearchAnswer(context, query));
 }
 
--- a/Source/scheduler/state.h
+++ b/Source/scheduler/state.h
@@ -63,9 +63,9 @@
   StateOptions self;
   std::mt19937_64 random;
   Time started{0};
-  Time platform_seen{0};  // when the platform last answered
+  Time platform_last_answer{0};  // when the platform last answered
   bool platform_ok = false;
-  bool platform_ever = false;
+  bool platform_ever_answered = false;
   // Wall clock in milliseconds since 1970; the callbacks of the logs read it.
   std::shared_ptr<std::int64_t> wall_ms = std::make_shared<std::int64_t>(0);
   std::unique_ptr<WriteBudget> write_budget;
@@ -81,7 +81,7 @@
   Jobs jobs;
   TaskQueue tasks;
   OpenLogs logs;
-  std::vector<std::string> dead_logs;  // erased at the end of the step
+  std::vector<std::string> logs_to_drop;  // erased at the end of the step
   Searches searches;
   SearchesSeen searches_seen;
   DrainState drain;
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -114,9 +114,10 @@
 
 WorkerRecord* FindBooking(Context& context, const AttemptId& attempt) {
   Ownership& ownership = context.state().ownership;
-  const auto it = ownership.holders.find(attempt);
-  return it == ownership.holders.end() ? nullptr
-                                       : &ownership.workers.at(it->second);
+  const auto it = ownership.attempt_workers.find(attempt);
+  return it == ownership.attempt_workers.end()
+             ? nullptr
+             : &ownership.workers.at(it->second);
 }
 
 void OfferTask(Context& context,
@@ -130,7 +131,7 @@
   task.worker.clear();
   task.offered = context.now();
   task.offer_sequence = ++target.offer_sequence;
-  target.lent_room += job.spec.resources;
+  target.offered_resources += job.spec.resources;
   context.Send(
       peer,
       TaskOffer{
@@ -217,7 +218,7 @@
       task->owner == from && task->offer_sequence == refused.sequence &&
       (task->state == TaskState::kStarting ||
        task->state == TaskState::kStopping);
-  context.state().membership.peers.at(from).struck = true;
+  context.state().membership.peers.at(from).refused_work = true;
   if (is_current) {
     OnAttemptNotStarted(context, refused.attempt, refused.reason);
   }
@@ -242,7 +243,7 @@
                  WorkerRecord& worker,
                  const AttemptId& attempt) {
   Booking& booking = worker.bookings.at(attempt);
-  booking.uncertain = false;
+  booking.unverified = false;
   TellWriter(context, worker, booking);
 }
 
@@ -286,7 +287,7 @@
     context.state().tasks.wanted = true;
   }
   booking.holds_room = false;
-  booking.uncertain = false;
+  booking.unverified = false;
   booking.state = AttemptState::kEnded;
   booking.outcome = report.outcome;
   booking.answer = report.answer;
@@ -296,10 +297,10 @@
     Task* task = nullptr;
     const Job* job = JobOfAttempt(context, report.attempt, &task);
     const bool failed = report.outcome == Outcome::kFailed;
-    NoteEnd(context, worker,
-            failed ? FailureName(context, worker, report.attempt)
-                   : report.attempt.job,
-            failed, job != nullptr && job->bad);
+    RecordAttemptEnd(context, worker,
+                     failed ? FailureGroup(context, worker, report.attempt)
+                            : report.attempt.job,
+                     failed, job != nullptr && job->bad);
   }
   TellWriter(context, worker, booking);
 }
@@ -307,7 +308,7 @@
 void TellWriter(Context& context,
                 const WorkerRecord& worker,
                 Booking& booking) {
-  booking.told = context.now();
+  booking.end_reported_at = context.now();
   const AttemptReport report = ReportOf(booking);
   const std::string log = LogOfJob(report.attempt.job);
   const std::string writer = WriterOf(context, log);
@@ -432,7 +433,7 @@
     std::vector<AttemptId> untold;
     for (const auto& [attempt, booking] : worker.bookings) {
       if (booking.state == AttemptState::kEnded &&
-          context.now() - booking.told >= kEndRepeat) {
+          context.now() - booking.end_reported_at >= kEndRepeat) {
         untold.push_back(attempt);
       }
     }
@@ -449,7 +450,7 @@
                 [&](const auto& it) { return it.second < context.now(); });
   ForgetOldForwards(context);
   ExpireAsks(context);
-  context.After(kOfferRepeat, TimerKind::kOffers);
+  context.ScheduleAfter(kOfferRepeat, TimerKind::kOffers);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -258,14 +258,14 @@
     ++pass.starts;
   }
   if (pass.starts == kMaxStartsPerPass) {
-    context.At(context.now(), TimerKind::kSchedule);
+    context.ScheduleAt(context.now(), TimerKind::kSchedule);
   }
 }
 
 std::string ChoosePeerForTask(Context& context, const Resources& need) {
   std::vector<const Peer*> candidates;
   for (const auto& [id, peer] : context.state().membership.peers) {
-    const Resources room = peer.digest.free - peer.lent_room;
+    const Resources room = peer.digest.free - peer.offered_resources;
     if (IsDomainPeer(context, peer) && IsUsable(context, peer) &&
         Fits(need, room)) {
       candidates.push_back(&peer);
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -36,21 +36,21 @@
 }
 
 void QueryWriter(Context& context,
-                 const WorkAsked& asked,
+                 const WorkQueryArrived& asked,
                  const std::string& writer) {
   Jobs& jobs = context.state().jobs;
-  const std::uint64_t ask = jobs.next_ask++;
-  jobs.asks.emplace(ask, OpenAsk{.reply = asked.reply,
+  const std::uint64_t query_id = jobs.next_ask++;
+  jobs.asks.emplace(query_id, OpenAsk{.reply = asked.reply,
                                  .id = asked.id,
                                  .cancel = asked.cancel,
                                  .until = context.now() + kQueryTimeout});
   context.Send(writer,
-               AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
+               AskWork{.ask = query_id, .id = asked.id, .cancel = asked.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkAsked& asked) {
+void OnWorkAsked(Context& context, const WorkQueryArrived& asked) {
   const auto request = asked.cancel ? CancelRequest(context, asked.id)
                                     : RequestStatus(context, asked.id);
   if (request) {
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -34,8 +34,8 @@
 
 void RecordAnswer(Context& context, WorkerRecord& worker) {
   worker.last_answer = context.now();
-  const bool was_closed = worker.silent || worker.suspect;
-  worker.silent = false;
+  const bool was_closed = worker.unresponsive || worker.suspect;
+  worker.unresponsive = false;
   worker.suspect = false;
   if (was_closed) {
     UpdateOpen(context, worker);
@@ -43,7 +43,7 @@
   // Renewals stop when the worker becomes unresponsive; any answer resumes
   // them.
   if (IsOurs(worker) && worker.poll == 0) {
-    context.At(context.now(), TimerKind::kRenew, worker.info.id);
+    context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
   }
 }
 
@@ -83,8 +83,8 @@
     booking.confirmed = context.now();
   }
   booking.state = report.state;
-  if (booking.uncertain && !booking.is_request) {
-    booking.uncertain = false;
+  if (booking.unverified && !booking.is_request) {
+    booking.unverified = false;
     OnStartDone(context, worker, report.attempt);
   } else if (has_changed && !booking.is_request) {
     TellWriter(context, worker, booking);
@@ -113,7 +113,7 @@
     // all starts accepted before, and it refuses those still in flight.
     const bool is_confirmed = booking.confirmed != Time(0);
     const bool was_there = is_confirmed && booking.confirmed < seen_from;
-    const bool is_settled = definite && (booking.uncertain || is_confirmed);
+    const bool is_settled = definite && (booking.unverified || is_confirmed);
     if (was_there || is_settled) {
       missing.push_back(attempt);
     }
@@ -127,12 +127,12 @@
   const Booking& booking = worker.bookings.at(attempt);
   if (booking.is_request) {
     // A run with an outstanding call is completed by the answer to that call.
-    const bool uncertain = booking.uncertain;
-    if (uncertain || !IsOpenRequest(context, attempt)) {
+    const bool was_unverified = booking.unverified;
+    if (was_unverified || !IsOpenRequest(context, attempt)) {
       EraseBooking(context, worker, attempt);
     }
-    if (uncertain) {
-      OnRunVanished(context, attempt);
+    if (was_unverified) {
+      OnRunLost(context, attempt);
     }
     return;
   }
@@ -189,15 +189,15 @@
   worker.epoch = accepted.epoch;
   worker.owner = OwnName(context);
   worker.claim_refusals = 0;
-  worker.wanted_since = Time(0);
-  worker.proven = purpose.sent;
+  worker.desired_since = Time(0);
+  worker.ownership_verified_at = purpose.sent;
   ++context.state().counters.claims;
   TakeOwnership(context, worker, accepted.capacity);
   RecordAnswer(context, worker);
   ApplyReports(context, worker, accepted.attempts, context.now(), true);
   UpdateOpen(context, worker);
-  context.At(context.now(), TimerKind::kRenew, worker.info.id);
-  context.state().ownership.pending.insert(worker.info.id);
+  context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
+  context.state().ownership.pending_checks.insert(worker.info.id);
 }
 
 void LoseOwnership(Context& context,
@@ -212,8 +212,10 @@
   worker.epoch = stale.epoch;
   worker.owner = stale.owner;
   if (!was_offered) {
-    worker.deposed = std::min(worker.deposed + 1, kMaxClaimBackoffShift);
-    worker.quiet_until = context.now() + kClaimBackoff * (1U << worker.deposed);
+    worker.ownership_losses =
+        std::min(worker.ownership_losses + 1, kMaxClaimBackoffShift);
+    worker.claim_backoff_until =
+        context.now() + kClaimBackoff * (1U << worker.ownership_losses);
   }
   ReleaseWorker(context, worker);
 }
@@ -233,7 +235,7 @@
     worker.epoch = stale.epoch;
     worker.owner = stale.owner;
   }
-  context.state().ownership.pending.insert(worker.info.id);
+  context.state().ownership.pending_checks.insert(worker.info.id);
 }
 
 void OnClaimRefused(Context& context,
@@ -249,7 +251,7 @@
           ? Duration(0)
           : context.Jitter(std::chrono::seconds(1) * worker.claim_refusals);
   worker.claim_after = context.now() + wait;
-  context.At(worker.claim_after, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.claim_after, TimerKind::kClaim, worker.info.id);
 }
 
 void OnClaimAnswer(Context& context,
@@ -273,20 +275,20 @@
       std::min<Duration>(std::chrono::milliseconds(500) * worker.claim_refusals,
                          std::chrono::seconds(5)));
   worker.claim_after = context.now() + wait;
-  context.At(worker.claim_after, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.claim_after, TimerKind::kClaim, worker.info.id);
   UpdateOpen(context, worker);
 }
 
 void OnUnresponsive(Context& context, WorkerRecord& worker) {
-  worker.silent = true;
+  worker.unresponsive = true;
   context.Log(EventNumber::kWorkerSilent, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
   // No lease is renewed from now on, so that it is known when all attempts on
   // the worker have ended. Claims, which renew no lease, probe the worker.
   const LeasePolicy& lease = context.policy().lease;
-  context.At(worker.lease_sent + lease.task_lease + lease.drift,
-             TimerKind::kLeaseBound, worker.info.id);
-  context.After(kRenewRetryDelay, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.lease_sent + lease.task_lease + lease.drift,
+                     TimerKind::kLeaseBound, worker.info.id);
+  context.ScheduleAfter(kRenewRetryDelay, TimerKind::kClaim, worker.info.id);
 }
 
 void OnRenewAnswer(Context& context,
@@ -297,14 +299,15 @@
   if (const auto* done = std::get_if<RenewDone>(&result)) {
     RecordAnswer(context, worker);
     if (purpose_epoch == worker.epoch) {
-      worker.proven = std::max(worker.proven, purpose.sent);
+      worker.ownership_verified_at =
+          std::max(worker.ownership_verified_at, purpose.sent);
     }
     worker.version = std::max(worker.version, done->version);
     worker.usage = done->usage;
     worker.go.clear();
     ApplyReports(context, worker, done->attempts, purpose.sent, false);
     if (purpose.is_poll) {
-      context.At(context.now(), TimerKind::kRenew, worker.info.id);
+      context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
     }
     return;
   }
@@ -314,13 +317,14 @@
   worker.suspect = true;
   UpdateOpen(context, worker);
   const Duration since_answer = context.now() - worker.last_answer;
-  if (!worker.silent && since_answer > context.policy().lease.worker_silent) {
+  if (!worker.unresponsive &&
+      since_answer > context.policy().lease.worker_silent) {
     OnUnresponsive(context, worker);
     return;
   }
   if (purpose.is_poll) {
-    context.After(context.Jitter(kRenewRetryDelay), TimerKind::kRenew,
-                  worker.info.id);
+    context.ScheduleAfter(context.Jitter(kRenewRetryDelay), TimerKind::kRenew,
+                          worker.info.id);
   }
 }
 
@@ -353,7 +357,7 @@
     OnStartNotDone(context, worker, attempt, "unreachable");
     RenewNow(context, worker);
   } else {
-    booking.uncertain = true;
+    booking.unverified = true;
     Reclaim(context, worker);
   }
   UpdateOpen(context, worker);
@@ -365,8 +369,8 @@
                  const WorkerResult& result) {
   if (const auto* ended = std::get_if<RunEnded>(&result)) {
     EraseBooking(context, worker, purpose.attempt);
-    NoteEnd(context, worker, purpose.request, ended->outcome != Outcome::kDone,
-            false);
+    RecordAttemptEnd(context, worker, purpose.request,
+                     ended->outcome != Outcome::kDone, false);
     OnRunEnded(context, purpose.request, *ended);
     return;
   }
@@ -386,9 +390,9 @@
   worker.suspect = true;
   const auto it = worker.bookings.find(purpose.attempt);
   if (it != worker.bookings.end()) {
-    it->second.uncertain = true;
+    it->second.unverified = true;
   }
-  OnRunUncertain(context, purpose.request);
+  OnRunUnverified(context, purpose.request);
   Reclaim(context, worker);
   UpdateOpen(context, worker);
 }
@@ -418,7 +422,7 @@
       OnRenewAnswer(context, worker, purpose.epoch, *renew, result);
     } else if (renew->is_poll && purpose.epoch < worker.epoch) {
       // This process advanced the epoch itself while the renewal was in flight.
-      context.At(context.now(), TimerKind::kRenew, worker.info.id);
+      context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
     }
   }
   if (stale != nullptr) {
@@ -440,7 +444,7 @@
                 {{"attempt", ToString(it)}, {"worker", worker.info.id}});
     if (booking.is_request) {
       EraseBooking(context, worker, it);
-      OnRunVanished(context, it);
+      OnRunLost(context, it);
     } else {
       OnEndReported(context, worker,
                     {.attempt = it,
@@ -469,7 +473,7 @@
 
 }  // namespace
 
-void LoseSight(Context& context, WorkerRecord& worker) {
+void OrphanLiveAttempts(Context& context, WorkerRecord& worker) {
   for (const Booking& it : LiveTasks(worker)) {
     context.Log(EventNumber::kAttemptLost, {{"attempt", ToString(it.attempt)},
                                             {"worker", worker.info.id}});
@@ -487,7 +491,7 @@
   }
   worker.state = OwnerState::kFree;
   for (const auto& [attempt, booking] : worker.bookings) {
-    state.ownership.holders.erase(attempt);
+    state.ownership.attempt_workers.erase(attempt);
   }
   worker.bookings.clear();
   worker.acknowledge.clear();
--- a/Source/scheduler/worker_answers.h
+++ b/Source/scheduler/worker_answers.h
@@ -20,7 +20,7 @@
 
 // The worker was unresponsive until its leases lapsed: the writers of the
 // journals search for the task attempts booked on it.
-void LoseSight(Context& context, WorkerRecord& worker);
+void OrphanLiveAttempts(Context& context, WorkerRecord& worker);
 
 // The worker is owned by another member or was removed: drops its bookings.
 void ReleaseWorker(Context& context, WorkerRecord& worker);
--- a/Tests/bench/capacity_time.cc
+++ b/Tests/bench/capacity_time.cc
@@ -66,11 +66,12 @@
     Sample took;
     for (std::size_t it = 0; it < 50; ++it) {
       ++list.revision;
-      entry.Step(PeerSaid{.from = "d0-peer",
-                          .incarnation = "7",
-                          .domain = "d0",
-                          .message = InstancesDocument{.list = list}},
-                 took);
+      entry.Step(
+          PeerMessageReceived{.from = "d0-peer",
+                              .incarnation = "7",
+                              .domain = "d0",
+                              .message = InstancesDocument{.list = list}},
+          took);
     }
     points.push_back({static_cast<double>(size), took.Quantile(0.5)});
   }
@@ -95,10 +96,10 @@
     Sample took;
     for (std::size_t it = 0; it < 50; ++it) {
       ++view.revision;
-      entry.Step(PeerSaid{.from = "d0-peer",
-                          .incarnation = "7",
-                          .domain = "d0",
-                          .message = ConfigDocument{.view = view}},
+      entry.Step(PeerMessageReceived{.from = "d0-peer",
+                                     .incarnation = "7",
+                                     .domain = "d0",
+                                     .message = ConfigDocument{.view = view}},
                  took);
     }
     points.push_back({static_cast<double>(size), took.Quantile(0.5)});
--- a/Tests/bench/driven_entry.cc
+++ b/Tests/bench/driven_entry.cc
@@ -79,11 +79,12 @@
                   .number = next_offer_},
       .resources = resources,
       .payload = "answer=ok;sleep_ms=80"};
-  const Effects effects = Step(PeerSaid{.from = kPeer,
-                                        .incarnation = kPeerIncarnation,
-                                        .domain = "d0",
-                                        .message = offer},
-                               took);
+  const Effects effects =
+      Step(PeerMessageReceived{.from = kPeer,
+                               .incarnation = kPeerIncarnation,
+                               .domain = "d0",
+                               .message = offer},
+           took);
   const CallWorker* call = FindCall(effects);
   if (call == nullptr) {
     throw std::runtime_error("an offer was not started");
@@ -96,10 +97,10 @@
   const Peer& peer = state_.membership.peers.at(from);
   Digest digest = peer.digest;
   digest.sequence = ++next_digest_;
-  Step(PeerSaid{.from = from,
-                .incarnation = peer.incarnation,
-                .domain = peer.domain,
-                .message = std::move(digest)},
+  Step(PeerMessageReceived{.from = from,
+                           .incarnation = peer.incarnation,
+                           .domain = peer.domain,
+                           .message = std::move(digest)},
        took);
 }
 
--- a/Tests/runtime/peer_messages_test.cc
+++ b/Tests/runtime/peer_messages_test.cc
@@ -100,10 +100,10 @@
                       responder({});
                     });
   const auto port = std::get<std::uint16_t>(server.Listen());
-  PeerClient client(
-      io, {.sender = kPeer, .on_not_reached = [](const PeerNotReached&) {
-             FAIL("a message counts as not received");
-           }});
+  PeerClient client(io, {.sender = kPeer,
+                         .on_not_reached = [](const PeerMessageUndelivered&) {
+                           FAIL("a message counts as not received");
+                         }});
   for (const char* id : {"a", "b", "c"}) {
     client.Send({.peer = "e2",
                  .address = fmt::format("127.0.0.1:{}", port),
@@ -121,11 +121,12 @@
 
 TEST_CASE("messages to a peer that takes no connection are given back") {
   boost::asio::io_context io;
-  std::vector<PeerNotReached> missed;
+  std::vector<PeerMessageUndelivered> missed;
   PeerClient client(
-      io, {.sender = kPeer, .on_not_reached = [&missed](PeerNotReached it) {
-             missed.push_back(std::move(it));
-           }});
+      io,
+      {.sender = kPeer, .on_not_reached = [&missed](PeerMessageUndelivered it) {
+         missed.push_back(std::move(it));
+       }});
   const std::vector<PeerMessage> messages = {CancelForward{"a"},
                                              TaskGo{{.job = "j"}}};
   for (const PeerMessage& it : messages) {
@@ -135,8 +136,10 @@
     io.run_one();
   }
   REQUIRE(missed.size() == 2);
-  CHECK(missed[0] == PeerNotReached{.peer = "e2", .message = messages[0]});
-  CHECK(missed[1] == PeerNotReached{.peer = "e2", .message = messages[1]});
+  CHECK(missed[0] ==
+        PeerMessageUndelivered{.peer = "e2", .message = messages[0]});
+  CHECK(missed[1] ==
+        PeerMessageUndelivered{.peer = "e2", .message = messages[1]});
 }
 
 TEST_CASE("a message that a peer may have is not given back") {
@@ -152,11 +155,12 @@
                    taken = true;
                  });
   const auto port = std::get<std::uint16_t>(server->Listen());
-  std::vector<PeerNotReached> missed;
+  std::vector<PeerMessageUndelivered> missed;
   PeerClient client(
-      io, {.sender = kPeer, .on_not_reached = [&missed](PeerNotReached it) {
-             missed.push_back(std::move(it));
-           }});
+      io,
+      {.sender = kPeer, .on_not_reached = [&missed](PeerMessageUndelivered it) {
+         missed.push_back(std::move(it));
+       }});
   client.Send({.peer = "e2",
                .address = fmt::format("127.0.0.1:{}", port),
                .message = CancelForward{"a"}});
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -133,11 +133,12 @@
   older.pop_back();
   for (int round = 0; round < 2; ++round) {
     for (const ConfigView& it : older) {
-      group.Inject("d1-e0", PeerSaid{.from = "d0-e1",
-                                     .incarnation =
-                                         group.state("d0-e1").self.incarnation,
-                                     .domain = "d0",
-                                     .message = ConfigDocument{.view = it}});
+      group.Inject("d1-e0",
+                   PeerMessageReceived{
+                       .from = "d0-e1",
+                       .incarnation = group.state("d0-e1").self.incarnation,
+                       .domain = "d0",
+                       .message = ConfigDocument{.view = it}});
       CHECK(RevisionAt(group, "d1-e0") == stored);
       CHECK(group.state("d1-e0").config.policy.gang.hold == milliseconds(1800));
     }
@@ -243,11 +244,12 @@
     }
   };
   group.Restart("d0-e1");
-  group.Inject("d0-e1",
-               PeerSaid{.from = "d1-e0",
-                        .incarnation = group.state("d1-e0").self.incarnation,
-                        .domain = "d1",
-                        .message = ConfigDocument{.view = older}});
+  group.Inject(
+      "d0-e1",
+      PeerMessageReceived{.from = "d1-e0",
+                          .incarnation = group.state("d1-e0").self.incarnation,
+                          .domain = "d1",
+                          .message = ConfigDocument{.view = older}});
   group.Run(seconds(6));
   CHECK(served_by == std::set<Revision>{stored});
 }
--- a/Tests/scheduler/entry_group.cc
+++ b/Tests/scheduler/entry_group.cc
@@ -347,7 +347,7 @@
                         bool cancel) {
   const ReplyId reply = next_reply_++;
   Deliver(entry, entries_.at(entry).incarnation,
-          WorkAsked{.reply = reply, .id = id, .cancel = cancel});
+          WorkQueryArrived{.reply = reply, .id = id, .cancel = cancel});
   return reply;
 }
 
@@ -362,7 +362,7 @@
 }
 
 void EntryGroup::Drain(const std::string& entry) {
-  Deliver(entry, entries_.at(entry).incarnation, DrainAsked{});
+  Deliver(entry, entries_.at(entry).incarnation, DrainRequested{});
 }
 
 void EntryGroup::Inject(const std::string& entry, EventBody body) {
--- a/Tests/scheduler/entry_group_edges.cc
+++ b/Tests/scheduler/entry_group_edges.cc
@@ -202,8 +202,9 @@
   const std::uint64_t incarnation = entry.incarnation;
   if (!target->second.up) {
     After(kRefusedDelay, [this, from, incarnation, send] {
-      Deliver(from, incarnation,
-              PeerNotReached{.peer = send.peer, .message = send.message});
+      Deliver(
+          from, incarnation,
+          PeerMessageUndelivered{.peer = send.peer, .message = send.message});
     });
     return;
   }
@@ -224,10 +225,10 @@
     const std::uint64_t to = target->second.incarnation;
     After(delay, [this, from, incarnation, to, send, domain = entry.domain] {
       Deliver(send.peer, to,
-              PeerSaid{.from = from,
-                       .incarnation = std::to_string(incarnation),
-                       .domain = domain,
-                       .message = send.message});
+              PeerMessageReceived{.from = from,
+                                  .incarnation = std::to_string(incarnation),
+                                  .domain = domain,
+                                  .message = send.message});
     });
   }
 }
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "scheduler/asked_requests.h"
+#include "scheduler/submitted_requests.h"
 #include "scheduler/entry_group.h"
 #include "scheduler/work_samples.h"
 
@@ -50,11 +50,11 @@
     for (const std::string& it : group.entries()) {
       const std::string other = it == "d0-e0" ? "d0-e1" : "d0-e0";
       for (const InstanceList& list : {older, lagging}) {
-        group.Inject(
-            it, PeerSaid{.from = other,
-                         .incarnation = group.state(other).self.incarnation,
-                         .domain = "d0",
-                         .message = InstancesDocument{.list = list}});
+        group.Inject(it, PeerMessageReceived{
+                             .from = other,
+                             .incarnation = group.state(other).self.incarnation,
+                             .domain = "d0",
+                             .message = InstancesDocument{.list = list}});
       }
     }
     given.clear();
@@ -104,7 +104,7 @@
 TEST_CASE("the last entry stops with the platform down and asked twice") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
-  Asked asked(group);
+  SubmittedRequests asked(group);
   asked.SubmitMany("d0-e0", "own", kSlots, 1200);
   asked.SubmitMany("d0-e0", "waiting", 4, 10);
   group.platform().faults().down = true;
@@ -206,7 +206,7 @@
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
-  Asked asked(group);
+  SubmittedRequests asked(group);
   asked.SubmitMany("d0-e0", "own", kSlots, 1500);
   asked.SubmitMany("d1-e0", "full", kSlots, 1500);
   group.Run(seconds(1));
@@ -277,7 +277,7 @@
     group.Kill("d0-e1");
     group.Restart("d0-e0");
     group.Restart("d0-e1");
-    Asked asked(group);
+    SubmittedRequests asked(group);
     const ReplyId early = asked.Submit("d0-e0", "early", 10);
     CHECK(group.AnswerTo(early) != nullptr);
     group.Run(seconds(10));
@@ -306,7 +306,7 @@
   group.Run(seconds(4));
   group.Restart("d0-e0");
   group.Run(seconds(20));
-  Asked asked(group);
+  SubmittedRequests asked(group);
   asked.SubmitMany("d0-e0", "a", 4, 10);
   group.Run(seconds(1));
   CHECK(asked.Check().empty());
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -8,8 +8,8 @@
 #include <variant>
 #include <vector>
 
-#include "scheduler/asked_requests.h"
 #include "scheduler/entry_group.h"
+#include "scheduler/submitted_requests.h"
 #include "scheduler/work_samples.h"
 
 namespace burdockrock {
@@ -36,8 +36,8 @@
     }
   };
   group.KillWorker("d0-m0");
-  Asked asked(group);
-  asked.SubmitMany("d0-e0", "a", 6, 500);
+  SubmittedRequests requests(group);
+  requests.SubmitMany("d0-e0", "a", 6, 500);
   group.Run(milliseconds(100));
   const std::map<CallId, std::string> first = calls;
   REQUIRE(first.size() > 6);
@@ -60,7 +60,7 @@
                                          .result = RunEnded{.answer = "b"}});
   }
   group.Run(seconds(2));
-  CHECK(asked.Check().empty());
+  CHECK(requests.Check().empty());
   CHECK(calls.size() == first.size());
 }
 
@@ -79,12 +79,12 @@
                       .hold_back = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
-    Asked asked(group);
-    asked.SubmitMany("d1-e0", "full", kSlots, 600);
-    asked.SubmitMany("d0-e0", "own", kSlots, 100);
-    asked.SubmitMany("d0-e0", "more", 4, 300);
+    SubmittedRequests requests(group);
+    requests.SubmitMany("d1-e0", "full", kSlots, 600);
+    requests.SubmitMany("d0-e0", "own", kSlots, 100);
+    requests.SubmitMany("d0-e0", "more", 4, 300);
     group.Run(seconds(4));
-    CHECK(asked.Check().empty());
+    CHECK(requests.Check().empty());
     CHECK(group.state("d0-e0").counters.forwards_refused > 0);
   }
 }
@@ -97,12 +97,12 @@
   REQUIRE(Settle(group));
   group.Run(seconds(2));
   std::vector<ReplyId> replies;
-  Asked asked(group);
+  SubmittedRequests requests(group);
   for (int it = 0; it < 2 * kSlots; ++it) {
     const std::string key = NameOf("a", it);
     Request request = KeyedRequest(key, 1500);
     request.deadline = milliseconds(400);
-    replies.push_back(asked.Submit("d0-e0", key, request));
+    replies.push_back(requests.Submit("d0-e0", key, request));
   }
   const Time submitted_at = group.now();
   CHECK(group.state("d0-e0").counters.forwards > 0);
@@ -114,9 +114,9 @@
     CHECK(*group.AnsweredAt(it) <= submitted_at + milliseconds(400));
   }
   group.Run(seconds(2));
-  asked.Submit("d0-e0", "b", 10);
+  requests.Submit("d0-e0", "b", 10);
   group.Run(seconds(1));
-  CHECK(asked.Check().empty());
+  CHECK(requests.Check().empty());
   CHECK(group.state("d0-e0").requests.entries.empty());
 }
 
@@ -127,20 +127,20 @@
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 3});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
-  Asked asked(group);
-  asked.SubmitMany("d0-e0", "own", 2 * kSlots, 300);
+  SubmittedRequests requests(group);
+  requests.SubmitMany("d0-e0", "own", 2 * kSlots, 300);
   group.KillWorker("d0-m0");
   group.worker("d0-m1").Claim(
       {.epoch = group.worker("d0-m1").epoch() + 5, .owner = "other"},
       group.now());
   group.Kill("d1-e0");
-  asked.SubmitMany("d0-e0", "more", 3 * kSlots, 300);
+  requests.SubmitMany("d0-e0", "more", 3 * kSlots, 300);
   group.KillWorker("d0-m1");
   group.KillWorker("d0-m2");
-  asked.SubmitMany("d0-e0", "late", kSlots, 300);
+  requests.SubmitMany("d0-e0", "late", kSlots, 300);
   group.Run(seconds(4));
   int count = 0;
-  for (const auto& [reason, times] : asked.Check()) {
+  for (const auto& [reason, times] : requests.Check()) {
     count += times;
   }
   CHECK(count > 0);
@@ -155,10 +155,10 @@
     EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
-    Asked asked(group);
+    SubmittedRequests requests(group);
     const std::string at = is_forwarded ? "d1-m0" : "d0-m0";
     if (is_forwarded) {
-      asked.SubmitMany("d0-e0", "own", kSlots, 2500);
+      requests.SubmitMany("d0-e0", "own", kSlots, 2500);
     }
     std::pair<std::string, CallId> run;
     group.on_effect = [&](const std::string& entry, const Effect& effect) {
@@ -171,7 +171,7 @@
     group.worker(at).faults().lose_answers = 1;
     Request request = KeyedRequest("lost", 10);
     request.deadline = seconds(20);
-    const ReplyId reply = asked.Submit("d0-e0", "lost", request);
+    const ReplyId reply = requests.Submit("d0-e0", "lost", request);
     group.Run(milliseconds(200));
     REQUIRE(group.recorder().ExecutionsOf("lost") == 1);
     group.MarkLeaving("d0-m0");
@@ -185,7 +185,7 @@
     const auto verdict = group.VerdictOf(reply);
     REQUIRE(verdict);
     CHECK(std::holds_alternative<MayHaveRun>(*verdict));
-    asked.Check();
+    requests.Check();
   }
 }
 
@@ -195,14 +195,14 @@
 TEST_CASE("Refuses queued requests when the last minion is leaving") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
-  Asked asked(group);
-  asked.SubmitMany("d0-e0", "own", kSlots, 30000);
+  SubmittedRequests requests(group);
+  requests.SubmitMany("d0-e0", "own", kSlots, 30000);
   std::vector<ReplyId> waiting;
   for (int it = 0; it < 4; ++it) {
     const std::string key = NameOf("waiting", it);
     Request request = KeyedRequest(key, 10);
     request.deadline = seconds(20);
-    waiting.push_back(asked.Submit("d0-e0", key, request));
+    waiting.push_back(requests.Submit("d0-e0", key, request));
   }
   group.MarkLeaving("d0-m0");
   group.Run(group.options().list_lag + seconds(1));
@@ -215,7 +215,7 @@
     CHECK(refused->retry_after > Duration(0));
   }
   group.Run(seconds(40));
-  asked.Check();
+  requests.Check();
 }
 
 // Guards against "not run" for a request that is run later, and against a
@@ -226,24 +226,24 @@
     CAPTURE(is_stopped);
     EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
     REQUIRE(Settle(group));
-    Asked asked(group);
-    asked.SubmitMany("d0-e0", "own", kSlots, 1200);
+    SubmittedRequests requests(group);
+    requests.SubmitMany("d0-e0", "own", kSlots, 1200);
     for (int it = 0; it < 4; ++it) {
       const std::string key = NameOf("short", it);
       Request request = KeyedRequest(key, 10);
       request.deadline = milliseconds(500);
-      asked.Submit("d0-e0", key, request);
+      requests.Submit("d0-e0", key, request);
       const std::string other = NameOf("cancelled", it);
       Request cancelled = KeyedRequest(other, 10);
       cancelled.id = other;
-      asked.Submit("d0-e0", other, cancelled);
+      requests.Submit("d0-e0", other, cancelled);
     }
     group.Run(milliseconds(200));
     for (int it = 0; it < 4; ++it) {
       group.Ask("d0-e0", NameOf("cancelled", it), true);
     }
     group.Run(milliseconds(400));
-    asked.SubmitMany("d0-e0", "last", 4, 10);
+    requests.SubmitMany("d0-e0", "last", 4, 10);
     if (is_stopped) {
       group.Drain("d0-e0");
     }
@@ -253,7 +253,7 @@
     if (is_stopped) {
       expected[Reason::kDraining] = 4;
     }
-    CHECK(asked.Check() == expected);
+    CHECK(requests.Check() == expected);
   }
 }
 
--- a/Tests/scheduler/asked_requests.h
+++ b/Tests/scheduler/submitted_requests.h
@@ -1,7 +1,7 @@
 // Requests submitted by a test, each identified by a key, and the check that
 // their verdicts are true.
-#ifndef BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
-#define BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
+#ifndef BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
+#define BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
 
 #include <doctest/doctest.h>
 
@@ -27,9 +27,9 @@
 
 // The submitted requests, by the key under which the recorder counts their
 // runs.
-class Asked {
+class SubmittedRequests {
  public:
-  explicit Asked(EntryGroup& group) : group_(group) {}
+  explicit SubmittedRequests(EntryGroup& group) : group_(group) {}
 
   ReplyId Submit(const std::string& entry,
                  const std::string& key,
@@ -41,7 +41,7 @@
                  const std::string& key,
                  const Request& request) {
     const ReplyId reply = group_.Submit(entry, request);
-    asked_.emplace_back(reply, key);
+    submitted_.emplace_back(reply, key);
     return reply;
   }
 
@@ -59,7 +59,7 @@
   // the count of "not run" by reason.
   std::map<Reason, int> Check() const {
     std::map<Reason, int> refused;
-    for (const auto& it : asked_) {
+    for (const auto& it : submitted_) {
       const ReplyId reply = it.first;
       const std::string& key = it.second;
       CAPTURE(key);
@@ -80,7 +80,7 @@
 
  private:
   EntryGroup& group_;
-  std::vector<std::pair<ReplyId, std::string>> asked_;
+  std::vector<std::pair<ReplyId, std::string>> submitted_;
 };
 
 inline std::string NameOf(const char* prefix, int number) {
@@ -89,4 +89,4 @@
 
 }  // namespace burdockrock
 
-#endif  // BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
+#endif  // BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
