--- a/Source/scheduler/decaying_rate.h
+++ b/Source/scheduler/decaying_rate.h
@@ -1,4 +1,4 @@
-// A rate of events that forgets what is long past.
+// An exponentially decaying rate of events.
 #ifndef BURDOCKROCK_SCHEDULER_DECAYING_RATE_H_
 #define BURDOCKROCK_SCHEDULER_DECAYING_RATE_H_
 
@@ -6,12 +6,13 @@
 
 namespace burdockrock {
 
-// Each event counts with a weight that falls by a factor of e in kMemory.
+// The weight of each event decreases by a factor of e per kTimeConstant.
 class DecayingRate {
  public:
-  static constexpr Duration kMemory = std::chrono::seconds(1);
+  static constexpr Duration kTimeConstant = std::chrono::seconds(1);
 
-  void Note(Time now);
+  // Counts one event.
+  void Record(Time now);
 
   // Events per microsecond.
   double At(Time now) const;
--- a/Source/scheduler/forwarding.cc
+++ b/Source/scheduler/forwarding.cc
@@ -11,22 +11,26 @@
 
 namespace {
 
-// A request with less time left than the way to a peer and back stays here.
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(5);
+// A request with less time left than a round trip to a peer is not forwarded.
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
 
 std::int64_t FreeSlots(const Peer& peer, const std::string& service) {
-  const auto lent = peer.lent.find(service);
-  const std::int64_t given = lent == peer.lent.end() ? 0 : lent->second;
+  const auto sent = peer.forwarded_requests.find(service);
+  const std::int64_t forwarded =
+      sent == peer.forwarded_requests.end() ? 0 : sent->second;
   for (const ServiceRoom& it : peer.digest.services) {
     if (it.service == service) {
-      return it.waiting > 0 ? 0 : it.free_slots - given;
+      return it.waiting > 0 ? 0 : it.free_slots - forwarded;
     }
   }
   return 0;
 }
 
-// The peer has said that it did not run the request.
-void TakeBack(Context& context, RequestEntry& entry, const NotRun& refusal) {
+// The peer did not run the request: admits it here again, unless the refusal is
+// final.
+void OnForwardRefused(Context& context,
+                      RequestEntry& entry,
+                      const NotRun& refusal) {
   entry.state = RequestState::kQueued;
   entry.peer.clear();
   const bool is_final = refusal.reason == Reason::kInvalid ||
@@ -51,11 +55,11 @@
   const Duration age = context.now() - peer.digest_at;
   const bool is_far = peer.domain != context.state().self.domain;
   const Duration oldest = context.policy().membership.digest_max_age *
-                          (is_far ? FarDigestTurns(context) : 1);
+                          (is_far ? FarDigestRotation(context) : 1);
   if (policy.gate && age > oldest) {
     return false;
   }
-  return !policy.one_strike || !peer.struck;
+  return !policy.one_strike || !peer.refused_work;
 }
 
 std::string ChoosePeerForRequest(Context& context, const std::string& service) {
@@ -83,13 +87,15 @@
                    RequestEntry& entry,
                    const std::string& peer) {
   const Duration left = entry.deadline - context.now();
-  if (entry.forwarded_once || left < kLeastTimeLeft) {
+  if (entry.forwarded_once || left < kMinTimeLeft) {
     return false;
   }
   entry.state = RequestState::kForwarded;
   entry.forwarded_once = true;
   entry.peer = peer;
-  ++context.state().membership.peers.at(peer).lent[entry.request.service];
+  ++context.state()
+        .membership.peers.at(peer)
+        .forwarded_requests[entry.request.service];
   ++context.state().counters.forwards;
   Request request = entry.request;
   request.deadline = left;
@@ -104,12 +110,12 @@
   const auto it = state.requests.entries.find(answer.answer.id);
   if (it == state.requests.entries.end() ||
       it->second.state != RequestState::kForwarded || it->second.peer != from) {
-    return;  // late or doubled
+    return;  // late or duplicate
   }
   RequestEntry& entry = it->second;
   if (const auto* refusal = std::get_if<NotRun>(&answer.answer.verdict)) {
-    state.membership.peers.at(from).struck = true;
-    TakeBack(context, entry, *refusal);
+    state.membership.peers.at(from).refused_work = true;
+    OnForwardRefused(context, entry, *refusal);
     return;
   }
   entry.dispatched = true;
@@ -117,7 +123,7 @@
   FinishRequest(context, answer.answer.id, answer.answer.verdict);
 }
 
-void OnForwardNotReached(Context& context, const ForwardRequest& forward) {
+void OnForwardUndelivered(Context& context, const ForwardRequest& forward) {
   State& state = context.state();
   const auto it = state.requests.entries.find(forward.request.id);
   if (it == state.requests.entries.end() ||
@@ -126,10 +132,11 @@
   }
   const auto peer = state.membership.peers.find(it->second.peer);
   if (peer != state.membership.peers.end()) {
-    peer->second.struck = true;
+    peer->second.refused_work = true;
   }
-  TakeBack(context, it->second,
-           {.reason = Reason::kOverloaded, .detail = "peer not reached"});
+  OnForwardRefused(
+      context, it->second,
+      {.reason = Reason::kOverloaded, .detail = "peer not reached"});
 }
 
 void FailForwarded(Context& context, const std::string& peer) {
--- a/Source/scheduler/health.cc
+++ b/Source/scheduler/health.cc
@@ -9,12 +9,15 @@
 
 namespace {
 
+// Caps the exponential backoff of the probe.
 constexpr std::uint32_t kMaxProbeShift = 5;
+// Tasks of a job must have run this much longer than the failed one, on this
+// many other workers.
 constexpr int kOutlastFactor = 2;
-constexpr Duration kOutlastLeast = std::chrono::milliseconds(1);
-constexpr std::size_t kOutlastWorkers = 2;
+constexpr Duration kOutlastMargin = std::chrono::milliseconds(1);
+constexpr std::size_t kOutlastMinWorkers = 2;
 
-bool LooksBad(const Context& context, const WorkerHealth& health) {
+bool IsFailing(const Context& context, const WorkerHealth& health) {
   const HealthPolicy& policy = context.policy().health;
   std::set<std::string> failed_jobs;
   std::int64_t failures = 0;
@@ -30,9 +33,9 @@
          static_cast<double>(failures) >= policy.failure_ratio * total;
 }
 
-// Past the cap the cause is not in single workers: taking more of them out
-// would only take room from sound work.
-bool CapReached(const Context& context) {
+// Beyond the cap, single workers are unlikely to be the cause: quarantining
+// more of them would only reduce the capacity for healthy work.
+bool IsQuarantineCapReached(const Context& context) {
   const State& state = context.state();
   std::int64_t quarantined = 0;
   for (const auto& [id, worker] : state.ownership.workers) {
@@ -46,13 +49,13 @@
   return quarantined >= std::max<std::int64_t>(cap, 1);
 }
 
-Duration ProbeWait(const Context& context, const WorkerHealth& health) {
+Duration ProbeDelay(const Context& context, const WorkerHealth& health) {
   const std::uint32_t shift = std::min(health.quarantines, kMaxProbeShift);
   return context.policy().health.probe * (1U << shift);
 }
 
 void Quarantine(Context& context, WorkerRecord& worker) {
-  if (CapReached(context)) {
+  if (IsQuarantineCapReached(context)) {
     context.Log(EventNumber::kQuarantineCapReached,
                 {{"worker", worker.info.id}});
     return;
@@ -61,16 +64,16 @@
   worker.health.probing = false;
   context.Log(EventNumber::kWorkerQuarantined, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
-  context.After(ProbeWait(context, worker.health), TimerKind::kProbe,
-                worker.info.id);
+  context.ScheduleAfter(ProbeDelay(context, worker.health), TimerKind::kProbe,
+                        worker.info.id);
   ++worker.health.quarantines;
 }
 
 }  // namespace
 
-std::string FailureName(const Context& context,
-                        const WorkerRecord& worker,
-                        const AttemptId& attempt) {
+std::string FailureGroup(const Context& context,
+                         const WorkerRecord& worker,
+                         const AttemptId& attempt) {
   const Ownership& ownership = context.state().ownership;
   const auto failed = worker.bookings.find(attempt);
   if (failed == worker.bookings.end()) {
@@ -78,7 +81,7 @@
   }
   const Duration ran = context.now() - failed->second.confirmed;
   std::set<std::string> outlasting;
-  for (const auto& [other, holder] : ownership.holders) {
+  for (const auto& [other, holder] : ownership.attempt_workers) {
     if (other.job != attempt.job || holder == worker.info.id) {
       continue;
     }
@@ -88,20 +91,20 @@
                       booking->second.confirmed != Time(0) &&
                       booking->second.state == AttemptState::kRunning;
     if (runs && context.now() - booking->second.confirmed >=
-                    ran * kOutlastFactor + kOutlastLeast) {
+                    ran * kOutlastFactor + kOutlastMargin) {
       outlasting.insert(holder);
     }
   }
-  return outlasting.size() >= kOutlastWorkers
+  return outlasting.size() >= kOutlastMinWorkers
              ? attempt.job + "/" + std::to_string(attempt.task)
              : attempt.job;
 }
 
-void NoteEnd(Context& context,
-             WorkerRecord& worker,
-             const std::string& job,
-             bool failed,
-             bool job_is_bad) {
+void RecordAttemptEnd(Context& context,
+                      WorkerRecord& worker,
+                      const std::string& job,
+                      bool failed,
+                      bool job_is_bad) {
   if (failed && job_is_bad) {
     return;
   }
@@ -121,7 +124,7 @@
     UpdateOpen(context, worker);
     return;
   }
-  if (failed && !health.quarantined && LooksBad(context, health)) {
+  if (failed && !health.quarantined && IsFailing(context, health)) {
     Quarantine(context, worker);
   }
 }
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -12,27 +12,27 @@
 
 namespace {
 
-// Up to so many peers every digest goes to all of them. Beyond, a member of
-// another domain hears from this one in turn, so that a deployment's digests
-// grow with the members of a domain and the number of domains, not with their
-// product.
+// Up to this many peers, each digest is sent to all of them. Beyond that, each
+// digest is sent to only one member of each other domain, in rotation, so that
+// the number of digests grows with the members of a domain plus the number of
+// domains, not with their product.
 constexpr std::size_t kFullMeshPeers = 8;
 
-// A member of another domain gets every second digest at most: it is needed
-// there to forward by and not to own workers by.
-constexpr std::uint64_t kFarDigestEvery = 2;
-// In periods of membership.peer_silent.
-constexpr std::int64_t kLeastFarPatience = 2;
+// Other domains get at most every second digest: they use digests only for
+// forwarding, not for the ownership of workers.
+constexpr std::uint64_t kFarDigestInterval = 2;
+// In units of membership.peer_silent.
+constexpr std::int64_t kMinFarTimeoutFactor = 2;
 
-// A watcher whose platform is silent for longer hands the watch to a member
-// that still reaches it.
-constexpr Duration kWatcherPlatformAge = std::chrono::seconds(5);
+// If the watcher had no answer from the platform for longer, another member
+// that still reaches the platform takes over.
+constexpr Duration kMaxWatcherPlatformAge = std::chrono::seconds(5);
 
-// A peer is asked for documents at most once in this time.
+// Minimum interval between two PullDocuments messages to the same peer.
 constexpr Duration kPullInterval = std::chrono::milliseconds(300);
 
-// Incarnations are made from the clock, in a notation whose order by length
-// and then by text is the order of time.
+// Incarnations are derived from the clock and encoded so that their order by
+// length, then by text, is chronological.
 bool IsOlder(const std::string& left, const std::string& right) {
   if (left.size() != right.size()) {
     return left.size() < right.size();
@@ -60,8 +60,8 @@
   digest.owned = state.ownership.owned;
   digest.config_revision = state.config.view.revision;
   digest.instances_revision = state.membership.instances.revision;
-  digest.platform_age = state.platform_ever
-                            ? context.now() - state.platform_seen
+  digest.platform_age = state.platform_ever_answered
+                            ? context.now() - state.platform_last_answer
                             : Duration(std::chrono::hours(1));
   for (const auto& [name, journal] : state.jobs.journals) {
     if (journal.ready) {
@@ -74,12 +74,12 @@
 void SendDigests(Context& context) {
   State& state = context.state();
   const Digest digest = MakeDigest(context);
-  if (digest.serving && state.membership.announced == Time(0)) {
-    state.membership.announced = context.now();
+  if (digest.serving && state.membership.announced_at == Time(0)) {
+    state.membership.announced_at = context.now();
   }
   const bool full = state.membership.peers.size() <= kFullMeshPeers;
   std::map<std::string, std::vector<std::string>> others;
-  const bool far = digest.sequence % kFarDigestEvery == 0;
+  const bool far = digest.sequence % kFarDigestInterval == 0;
   for (const auto& [id, peer] : state.membership.peers) {
     const bool is_near = peer.domain == state.self.domain;
     if (is_near || (full && far)) {
@@ -90,19 +90,21 @@
   }
   for (const auto& [domain, ids] : others) {
     if (far) {
-      context.Send(ids[digest.sequence / kFarDigestEvery % ids.size()], digest);
+      context.Send(ids[digest.sequence / kFarDigestInterval % ids.size()],
+                   digest);
     }
   }
 }
 
-// What was given to the peer's process may or may not be done.
+// The peer's process is lost: the work that it was given may or may not be
+// running.
 void OnPeerLost(Context& context, const std::string& id) {
   FailForwarded(context, id);
   for (auto& [job_id, job] : context.state().jobs.jobs) {
     for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
       const Task& task = job.tasks[it];
-      // Also one that was told to stop: the word may be lost with the peer, and
-      // the job would wait for its end for ever.
+      // This includes a task that is being stopped: the stop may be lost with
+      // the peer, and the job would wait forever for the task's end.
       if (IsOut(task) && task.owner == id) {
         OrphanTask(context, job, it);
       }
@@ -110,19 +112,21 @@
   }
   if (context.state().membership.peers.at(id).domain ==
       context.state().self.domain) {
-    context.At(context.now(), TimerKind::kOrphanScan);
+    context.ScheduleAt(context.now(), TimerKind::kOrphanScan);
   }
 }
 
-void ReviewPeers(Context& context) {
+// Declares unresponsive peers lost, and reassigns the owners of workers if the
+// members of the domain changed.
+void CheckPeers(Context& context) {
   State& state = context.state();
   const Duration limit = context.policy().membership.peer_silent;
-  const std::int64_t turns = FarDigestTurns(context);
+  const std::int64_t rotation = FarDigestRotation(context);
   for (auto& [id, peer] : state.membership.peers) {
     const bool is_far = peer.domain != state.self.domain;
-    const Duration patience =
-        is_far ? limit * std::max(turns, kLeastFarPatience) : limit;
-    if (peer.alive && context.now() - peer.last_heard > patience) {
+    const Duration timeout =
+        is_far ? limit * std::max(rotation, kMinFarTimeoutFactor) : limit;
+    if (peer.alive && context.now() - peer.last_received > timeout) {
       peer.alive = false;
       context.Log(EventNumber::kPeerSilent, {{"peer", id}});
       OnPeerLost(context, id);
@@ -133,7 +137,7 @@
     state.membership.members = members;
     ReassignOwners(context);
   }
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 void AddPeer(Context& context,
@@ -159,12 +163,12 @@
   WorkerRecord& worker = ownership.workers[info.id];
   const bool was_leaving = worker.info.leaving;
   worker.info = info;
-  // Signs of leaving are never undone: an older list that comes late must not
-  // send new work to a backend that has gone.
+  // `leaving` is never reset: a late, older list must not cause new work to be
+  // sent to a backend server that has left.
   worker.info.leaving = info.leaving || was_leaving;
   if (worker.removed) {
     worker.removed = false;
-    ownership.pending.insert(info.id);
+    ownership.pending_checks.insert(info.id);
   }
   if (worker.info.leaving != was_leaving) {
     UpdateOpen(context, worker);
@@ -189,8 +193,8 @@
     context.Log(EventNumber::kWorkerRemoved, {{"worker", id}});
     UpdateOpen(context, worker);
     const LeasePolicy& lease = context.policy().lease;
-    context.After(kListLag + lease.task_lease + lease.drift,
-                  TimerKind::kLeaseBound, id);
+    context.ScheduleAfter(kListLag + lease.task_lease + lease.drift,
+                          TimerKind::kLeaseBound, id);
   }
 }
 
@@ -201,80 +205,82 @@
   for (const PeerAddress& it : state.self.peers) {
     AddPeer(context, it.id, it.domain, it.address);
   }
-  context.At(context.now(), TimerKind::kDigest);
-  context.At(context.now(), TimerKind::kWatch);
+  context.ScheduleAt(context.now(), TimerKind::kDigest);
+  context.ScheduleAt(context.now(), TimerKind::kWatch);
 }
 
 void OnDigestTimer(Context& context) {
   State& state = context.state();
   const MembershipPolicy& policy = context.policy().membership;
   if (context.now() - state.started >= policy.peer_silent) {
-    state.membership.settled = true;
+    state.membership.startup_wait_over = true;
   }
-  ReviewPeers(context);
+  CheckPeers(context);
   RefuseUnservable(context);
   SendDigests(context);
-  ReviewOwnership(context);
-  context.After(policy.digest, TimerKind::kDigest);
+  CheckOwnership(context);
+  context.ScheduleAfter(policy.digest, TimerKind::kDigest);
 }
 
-bool NotePeer(Context& context, const PeerSaid& said) {
+bool NotePeerMessage(Context& context, const PeerMessageReceived& received) {
   State& state = context.state();
-  if (said.from == state.self.instance) {
+  if (received.from == state.self.instance) {
     return false;
   }
-  AddPeer(context, said.from, said.domain, "");
-  Peer& peer = state.membership.peers[said.from];
-  if (peer.incarnation != said.incarnation) {
-    if (peer.alive && IsOlder(said.incarnation, peer.incarnation)) {
+  AddPeer(context, received.from, received.domain, "");
+  Peer& peer = state.membership.peers[received.from];
+  if (peer.incarnation != received.incarnation) {
+    if (peer.alive && IsOlder(received.incarnation, peer.incarnation)) {
       return false;
     }
     const bool replaced = !peer.incarnation.empty();
-    peer.incarnation = said.incarnation;
+    peer.incarnation = received.incarnation;
     peer.digest = {};
     peer.offer_sequence = 0;
     peer.accepted_sequence = 0;
-    peer.lent.clear();
+    peer.forwarded_requests.clear();
     if (replaced) {
-      OnPeerLost(context, said.from);
+      OnPeerLost(context, received.from);
     }
   }
-  peer.last_heard = context.now();
+  peer.last_received = context.now();
   if (!peer.alive) {
     peer.alive = true;
-    context.Log(EventNumber::kPeerUp,
-                {{"peer", said.from}, {"incarnation", said.incarnation}});
+    context.Log(EventNumber::kPeerUp, {{"peer", received.from},
+                                       {"incarnation", received.incarnation}});
   }
   return true;
 }
 
-void OnDigest(Context& context, const PeerSaid& said, const Digest& digest) {
+void OnDigest(Context& context,
+              const PeerMessageReceived& received,
+              const Digest& digest) {
   State& state = context.state();
-  Peer& peer = state.membership.peers[said.from];
+  Peer& peer = state.membership.peers[received.from];
   if (digest.sequence <= peer.digest.sequence) {
-    return;  // late or doubled: a newer one is known
+    return;  // late or duplicate: a newer digest is known
   }
   if (digest.draining && !peer.digest.draining) {
-    context.Log(EventNumber::kPeerLeaving, {{"peer", said.from}});
+    context.Log(EventNumber::kPeerLeaving, {{"peer", received.from}});
   }
   const bool role_changed = digest.draining != peer.digest.draining ||
                             digest.serving != peer.digest.serving;
   peer.digest = digest;
   peer.digest_at = context.now();
-  peer.lent.clear();
-  peer.lent_room = {};
-  peer.struck = false;
-  YieldJournals(context, said.from, digest.logs);
+  peer.forwarded_requests.clear();
+  peer.offered_resources = {};
+  peer.refused_work = false;
+  YieldJournals(context, received.from, digest.logs);
   if (role_changed) {
-    ReviewPeers(context);
-    ReviewOwnership(context);
+    CheckPeers(context);
+    CheckOwnership(context);
   }
   const bool is_behind =
       digest.config_revision > state.config.seen ||
       digest.instances_revision > state.membership.instances.revision;
   if (is_behind && context.now() - peer.pulled_at >= kPullInterval) {
     peer.pulled_at = context.now();
-    context.Send(said.from,
+    context.Send(received.from,
                  PullDocuments{.config_revision = state.config.seen,
                                .instances_revision =
                                    state.membership.instances.revision});
@@ -307,7 +313,7 @@
   RemoveMissing(context, list.instances);
   membership.members = DomainMembers(context);
   ReassignOwners(context);
-  ReviewOwnership(context);
+  CheckOwnership(context);
 }
 
 void OnPullDocuments(Context& context,
@@ -325,10 +331,10 @@
 bool IsServing(const Context& context) {
   const State& state = context.state();
   return state.config.loaded && state.membership.has_instances &&
-         state.membership.settled;
+         state.membership.startup_wait_over;
 }
 
-std::int64_t FarDigestTurns(const Context& context) {
+std::int64_t FarDigestRotation(const Context& context) {
   const State& state = context.state();
   const auto& peers = state.membership.peers;
   if (peers.size() <= kFullMeshPeers) {
@@ -347,8 +353,8 @@
 std::vector<std::string> DomainMembers(const Context& context) {
   const State& state = context.state();
   std::vector<std::string> members;
-  const bool is_announced = state.membership.announced != Time(0) &&
-                            context.now() - state.membership.announced >=
+  const bool is_announced = state.membership.announced_at != Time(0) &&
+                            context.now() - state.membership.announced_at >=
                                 context.policy().membership.digest;
   if (IsServing(context) && is_announced && !state.drain.draining) {
     members.push_back(state.self.instance);
@@ -376,13 +382,13 @@
   const State& state = context.state();
   const std::uint64_t own = StableHash("watcher", state.self.instance);
   const bool own_reaches =
-      !state.platform_ever || state.platform_ok ||
-      context.now() - state.platform_seen < kWatcherPlatformAge;
+      !state.platform_ever_answered || state.platform_ok ||
+      context.now() - state.platform_last_answer < kMaxWatcherPlatformAge;
   for (const auto& [id, peer] : state.membership.peers) {
     if (!IsDomainPeer(context, peer) || peer.digest.draining) {
       continue;
     }
-    const bool peer_reaches = peer.digest.platform_age < kWatcherPlatformAge;
+    const bool peer_reaches = peer.digest.platform_age < kMaxWatcherPlatformAge;
     if (!peer_reaches) {
       continue;
     }
--- a/Source/scheduler/ownership.cc
+++ b/Source/scheduler/ownership.cc
@@ -13,8 +13,8 @@
 constexpr Duration kClaimTimeout = std::chrono::seconds(2);
 constexpr Duration kCommandTimeout = std::chrono::seconds(2);
 constexpr Duration kPollGrace = std::chrono::seconds(2);
-constexpr Duration kHandoverPatience = std::chrono::seconds(8);
-// A run may take as long as its caller waits; a caller's deadline is bounded.
+constexpr Duration kHandoverTimeout = std::chrono::seconds(8);
+// A run may take until the deadline of its caller, which is bounded.
 constexpr Duration kRunTimeout = std::chrono::hours(1);
 
 bool IsOurs(const WorkerRecord& worker) {
@@ -22,8 +22,8 @@
          worker.state == OwnerState::kHandingOver;
 }
 
-// The process that last claimed the worker is alive by this one's view. While
-// it is, the worker is left to it until it hands it over.
+// Whether the process that last claimed the worker is alive, as seen by this
+// one. If so, this process waits for a handover instead of claiming.
 bool OwnerIsAlive(const Context& context, const WorkerRecord& worker) {
   const std::size_t split = worker.owner.find('~');
   if (split == std::string::npos) {
@@ -35,23 +35,23 @@
          it->second.incarnation == worker.owner.substr(split + 1);
 }
 
-// Two members that can't hear each other, but both reach the worker, would
-// take it from each other without end: each sees the other as dead. So a
-// worker that was taken away is left alone for a while, twice as long each
-// time, and one whose owner is alive but doesn't hand it over is claimed only
-// after kHandoverPatience.
+// Two members that can't reach each other, but both reach the worker, would
+// take it from each other endlessly, as each considers the other lost.
+// Therefore a worker that another member took is claimed again only after an
+// exponential backoff, and one whose owner is alive but doesn't hand it over
+// only after kHandoverTimeout.
 bool MayClaim(Context& context, WorkerRecord& worker) {
   if (context.now() < worker.claim_after ||
-      context.now() < worker.quiet_until) {
+      context.now() < worker.claim_backoff_until) {
     return false;
   }
   if (!OwnerIsAlive(context, worker)) {
     return true;
   }
-  if (worker.wanted_since == Time(0)) {
-    worker.wanted_since = context.now();
+  if (worker.desired_since == Time(0)) {
+    worker.desired_since = context.now();
   }
-  return context.now() - worker.wanted_since > kHandoverPatience;
+  return context.now() - worker.desired_since > kHandoverTimeout;
 }
 
 void SendClaim(Context& context, WorkerRecord& worker) {
@@ -76,8 +76,9 @@
                Handover{.worker = worker.info.id, .epoch = worker.epoch});
 }
 
-// True when the review is done with the worker.
-bool ReviewWorker(Context& context, WorkerRecord& worker) {
+// Claims or offers the worker according to its assignment; true if it needs no
+// further check.
+bool CheckWorker(Context& context, WorkerRecord& worker) {
   State& state = context.state();
   if (worker.claim_in_flight) {
     return false;
@@ -126,22 +127,22 @@
   for (auto& [id, worker] : state.ownership.workers) {
     const auto it = owners.find(id);
     worker.desired = it == owners.end() ? "" : it->second;
-    state.ownership.pending.insert(id);
+    state.ownership.pending_checks.insert(id);
   }
 }
 
-void ReviewOwnership(Context& context) {
+void CheckOwnership(Context& context) {
   State& state = context.state();
   if (!IsServing(context)) {
     return;
   }
   std::set<std::string> pending;
-  pending.swap(state.ownership.pending);
+  pending.swap(state.ownership.pending_checks);
   for (const std::string& id : pending) {
     const auto it = state.ownership.workers.find(id);
     if (it != state.ownership.workers.end() &&
-        !ReviewWorker(context, it->second)) {
-      state.ownership.pending.insert(id);
+        !CheckWorker(context, it->second)) {
+      state.ownership.pending_checks.insert(id);
     }
   }
 }
@@ -153,12 +154,12 @@
     return;
   }
   WorkerRecord& record = it->second;
-  if (record.silent && IsOurs(record) && !record.claim_in_flight) {
+  if (record.unresponsive && IsOurs(record) && !record.claim_in_flight) {
     SendClaim(context, record);
     return;
   }
-  if (!ReviewWorker(context, record)) {
-    state.ownership.pending.insert(worker);
+  if (!CheckWorker(context, record)) {
+    state.ownership.pending_checks.insert(worker);
   }
 }
 
@@ -167,21 +168,21 @@
                 const Handover& handover) {
   State& state = context.state();
   const auto it = state.ownership.workers.find(handover.worker);
-  // A late or doubled hand-over names an epoch that has passed.
+  // A late or duplicate handover has an outdated epoch.
   if (it == state.ownership.workers.end() ||
       handover.epoch < it->second.epoch || state.drain.draining) {
     return;
   }
   WorkerRecord& worker = it->second;
-  // Members with different views would pass a worker back and forth. It moves
-  // only when giver and taker agree.
+  // The handover is accepted only if the worker is assigned to this process
+  // here, too: members with different views would pass it back and forth.
   const bool is_wanted = worker.desired == state.self.instance;
   if (IsOurs(worker) || worker.claim_in_flight || !is_wanted) {
     return;
   }
   worker.epoch = handover.epoch;
   worker.owner.clear();
-  worker.quiet_until = Time(0);
+  worker.claim_backoff_until = Time(0);
   context.Log(EventNumber::kHandedOver,
               {{"worker", handover.worker}, {"from", from}});
   SendClaim(context, worker);
@@ -192,14 +193,14 @@
     return;
   }
   // A worker that is being handed over stays open until the other member has
-  // claimed it: what is started meanwhile runs or is refused, and a hand-over
-  // that is not taken up leaves no worker idle.
-  const bool is_open = IsOurs(worker) && !worker.info.leaving &&
-                       !worker.removed && !worker.silent && !worker.suspect &&
-                       !worker.claim_in_flight && worker.unchecked.empty() &&
-                       !worker.health.quarantined &&
-                       !(worker.health.probing && !worker.bookings.empty()) &&
-                       !context.state().drain.draining;
+  // claimed it: a start in the meantime is either executed or refused, and a
+  // handover that is not accepted leaves no worker idle.
+  const bool is_open =
+      IsOurs(worker) && !worker.info.leaving && !worker.removed &&
+      !worker.unresponsive && !worker.suspect && !worker.claim_in_flight &&
+      worker.unchecked_journals.empty() && !worker.health.quarantined &&
+      !(worker.health.probing && !worker.bookings.empty()) &&
+      !context.state().drain.draining;
   const bool was_open = context.state().placement.open(*worker.index);
   context.state().placement.SetOpen(*worker.index, is_open);
   if (is_open && !was_open) {
@@ -222,7 +223,7 @@
 Booking& AddBooking(Context& context, WorkerRecord& worker, Booking booking) {
   const AttemptId attempt = booking.attempt;
   if (!booking.is_request) {
-    context.state().ownership.holders[attempt] = worker.info.id;
+    context.state().ownership.attempt_workers[attempt] = worker.info.id;
   }
   return worker.bookings.emplace(attempt, std::move(booking)).first->second;
 }
@@ -238,7 +239,7 @@
     context.state().placement.Give(*worker.index, it->second.resources);
     context.state().tasks.wanted = true;
   }
-  context.state().ownership.holders.erase(attempt);
+  context.state().ownership.attempt_workers.erase(attempt);
   worker.bookings.erase(it);
 }
 
@@ -266,7 +267,7 @@
 }
 
 void RenewNow(Context& context, WorkerRecord& worker) {
-  if (!IsOurs(worker) || worker.silent) {
+  if (!IsOurs(worker) || worker.unresponsive) {
     return;
   }
   RenewCommand renew{.epoch = worker.epoch,
@@ -286,9 +287,10 @@
     return;
   }
   WorkerRecord& worker = it->second;
-  // A worker that left the list is renewed no more: its attempts then end at
-  // a known time, whether it is really gone or only the list is wrong.
-  if (!IsOurs(worker) || worker.poll != 0 || worker.silent || worker.removed) {
+  // The leases of a worker removed from the list are no longer renewed: its
+  // attempts then end at a known time, even if the list is wrong.
+  if (!IsOurs(worker) || worker.poll != 0 || worker.unresponsive ||
+      worker.removed) {
     return;
   }
   const LeasePolicy& lease = context.policy().lease;
@@ -312,9 +314,9 @@
   UpdateOpen(context, worker);
 }
 
-bool IsSettled(const Context& context, const WorkerRecord& worker) {
+bool IsOwnedAndResponsive(const Context& context, const WorkerRecord& worker) {
   static_cast<void>(context);
-  return IsOurs(worker) && !worker.silent && !worker.claim_in_flight &&
+  return IsOurs(worker) && !worker.unresponsive && !worker.claim_in_flight &&
          !worker.removed;
 }
 
@@ -328,9 +330,9 @@
   const LeasePolicy& lease = context.policy().lease;
   const Duration bound = lease.task_lease + lease.drift;
   if (worker.removed) {
-    const Time gone = worker.removed_at + kListLag + bound;
-    if (context.now() < gone) {
-      context.At(gone, TimerKind::kLeaseBound, id);
+    const Time lapsed_at = worker.removed_at + kListLag + bound;
+    if (context.now() < lapsed_at) {
+      context.ScheduleAt(lapsed_at, TimerKind::kLeaseBound, id);
       return;
     }
     EndAllAttempts(context, worker);
@@ -339,11 +341,11 @@
     }
     return;
   }
-  // That no lease of this process holds does not say that the attempts have
-  // ended: while this process was paused another may have claimed the worker.
-  // So they are looked for, and not taken as ended.
-  if (worker.silent && context.now() >= worker.lease_sent + bound) {
-    LoseSight(context, worker);
+  // The attempts may still be running although all leases of this process have
+  // lapsed: another member may have claimed the worker while this process was
+  // paused. They are searched for instead of being declared ended.
+  if (worker.unresponsive && context.now() >= worker.lease_sent + bound) {
+    OrphanLiveAttempts(context, worker);
   }
 }
 
@@ -351,7 +353,7 @@
   State& state = context.state();
   const auto it = state.calls.workers.find(answered.call);
   if (it == state.calls.workers.end()) {
-    return;  // late or doubled
+    return;  // late or duplicate
   }
   const WorkerPurpose purpose = std::move(it->second);
   state.calls.workers.erase(it);
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Duration kFirstOffers = std::chrono::seconds(1);
+constexpr Duration kFirstOffersDelay = std::chrono::seconds(1);
 
 using TimerHandler = void (*)(Context&, const std::string&);
 
@@ -71,28 +71,28 @@
 
 struct PeerMessageHandler {
   Context& context;
-  const PeerSaid& said;
+  const PeerMessageReceived& received;
 
   void operator()(const Digest& message) const {
-    OnDigest(context, said, message);
+    OnDigest(context, received, message);
   }
   void operator()(const ForwardRequest& message) const {
-    OnForwardRequest(context, said.from, message);
+    OnForwardRequest(context, received.from, message);
   }
   void operator()(const ForwardAnswer& message) const {
-    OnForwardAnswer(context, said.from, message);
+    OnForwardAnswer(context, received.from, message);
   }
   void operator()(const CancelForward& message) const {
     OnCancelForward(context, message);
   }
   void operator()(const TaskOffer& message) const {
-    OnTaskOffer(context, said.from, message);
+    OnTaskOffer(context, received.from, message);
   }
   void operator()(const TaskRefused& message) const {
-    OnTaskRefused(context, said.from, message);
+    OnTaskRefused(context, received.from, message);
   }
   void operator()(const TaskUpdate& message) const {
-    OnTaskUpdate(context, said.from, message);
+    OnTaskUpdate(context, received.from, message);
   }
   void operator()(const TaskAcknowledged& message) const {
     OnTaskAcknowledged(context, message.attempt);
@@ -101,22 +101,22 @@
     OnTaskGo(context, message.attempt);
   }
   void operator()(const TaskStop& message) const {
-    OnTaskStop(context, said.from, message.attempt);
+    OnTaskStop(context, received.from, message.attempt);
   }
   void operator()(const Handover& message) const {
-    OnHandover(context, said.from, message);
+    OnHandover(context, received.from, message);
   }
   void operator()(const AttemptSearch& message) const {
-    OnAttemptSearch(context, said.from, message);
+    OnAttemptSearch(context, received.from, message);
   }
   void operator()(const AttemptSearchAnswer& message) const {
-    OnAttemptSearchAnswer(context, said.from, message);
+    OnAttemptSearchAnswer(context, received.from, message);
   }
   void operator()(const AdoptLog& message) const {
     AdoptJournal(context, message.log);
   }
   void operator()(const PullDocuments& message) const {
-    OnPullDocuments(context, said.from, message);
+    OnPullDocuments(context, received.from, message);
   }
   void operator()(const ConfigDocument& message) const {
     ApplyConfig(context, message.view);
@@ -125,7 +125,7 @@
     ApplyInstances(context, message.list);
   }
   void operator()(const AskWork& message) const {
-    OnAskWork(context, said.from, message);
+    OnAskWork(context, received.from, message);
   }
   void operator()(const AskWorkAnswer& message) const {
     OnAskWorkAnswer(context, message);
@@ -158,20 +158,22 @@
   }
 };
 
-// Notes whether the platform answers, for the digests and the log.
-void NotePlatform(Context& context, const PlatformResult& result) {
+// Records whether the platform answers; used for the digests and logged on
+// change.
+void UpdatePlatformReachability(Context& context,
+                                const PlatformResult& result) {
   State& state = context.state();
   const auto* lost = std::get_if<PlatformUnavailable>(&result);
   if (lost == nullptr) {
-    if (!state.platform_ok && state.platform_ever) {
+    if (!state.platform_ok && state.platform_ever_answered) {
       context.Log(EventNumber::kPlatformBack, {});
     }
     state.platform_ok = true;
-    state.platform_ever = true;
-    state.platform_seen = context.now();
+    state.platform_ever_answered = true;
+    state.platform_last_answer = context.now();
     return;
   }
-  if (state.platform_ok || !state.platform_ever) {
+  if (state.platform_ok || !state.platform_ever_answered) {
     context.Log(EventNumber::kPlatformUnreachable, {{"detail", lost->message}});
   }
   state.platform_ok = false;
@@ -183,9 +185,9 @@
   void operator()(const ProcessStarted& /*event*/) const {
     context.state().started = context.now();
     StartMembership(context);
-    context.After(kFirstOffers, TimerKind::kOffers);
-    context.After(context.policy().membership.peer_silent,
-                  TimerKind::kOrphanScan);
+    context.ScheduleAfter(kFirstOffersDelay, TimerKind::kOffers);
+    context.ScheduleAfter(context.policy().membership.peer_silent,
+                          TimerKind::kOrphanScan);
   }
   void operator()(const TimerFired& /*event*/) const {
     while (const auto timer = context.state().timers.PopDue(context.now())) {
@@ -198,50 +200,52 @@
   void operator()(const JobArrived& event) const {
     OnJobArrived(context, event);
   }
-  void operator()(const WorkAsked& event) const { OnWorkAsked(context, event); }
-  void operator()(const CallerGone& /*event*/) const {}
-  void operator()(const ConfigAsked& event) const {
+  void operator()(const WorkQueryArrived& event) const {
+    OnWorkAsked(context, event);
+  }
+  void operator()(const CallerDisconnected& /*event*/) const {}
+  void operator()(const ConfigRequested& event) const {
     OnConfigAsked(context, event);
   }
   void operator()(const ConfigProposed& event) const {
     OnConfigProposed(context, event);
   }
-  void operator()(const DrainAsked& event) const {
+  void operator()(const DrainRequested& event) const {
     OnDrainAsked(context, event);
   }
   void operator()(const PlatformAnswered& event) const {
     auto& calls = context.state().calls.platform;
     const auto it = calls.find(event.call);
     if (it == calls.end()) {
-      return;  // late or doubled
+      return;  // late or duplicate
     }
     const PlatformPurpose purpose = std::move(it->second);
     calls.erase(it);
-    NotePlatform(context, event.result);
+    UpdatePlatformReachability(context, event.result);
     std::visit(PlatformHandler{.context = context, .result = event.result},
                purpose);
   }
   void operator()(const WorkerAnswered& event) const {
     OnWorkerAnswered(context, event);
   }
-  void operator()(const PeerSaid& event) const {
-    if (NotePeer(context, event)) {
-      std::visit(PeerMessageHandler{.context = context, .said = event},
+  void operator()(const PeerMessageReceived& event) const {
+    if (NotePeerMessage(context, event)) {
+      std::visit(PeerMessageHandler{.context = context, .received = event},
                  event.message);
     }
   }
-  void operator()(const PeerNotReached& event) const {
+  void operator()(const PeerMessageUndelivered& event) const {
     if (const auto* forward = std::get_if<ForwardRequest>(&event.message)) {
-      OnForwardNotReached(context, *forward);
+      OnForwardUndelivered(context, *forward);
     }
   }
 };
 
-void DropDeadLogs(State& state) {
-  for (const std::string& it : state.dead_logs) {
+void EraseDroppedLogs(State& state) {
+  for (const std::string& it : state.logs_to_drop) {
     state.logs.erase(it);
   }
-  state.dead_logs.clear();
+  state.logs_to_drop.clear();
 }
 
 }  // namespace
@@ -256,7 +260,7 @@
   if (state.write_budget == nullptr) {
     state.write_budget = std::make_unique<WriteBudget>(budget);
   } else {
-    *state.write_budget = budget;  // the logs keep pointing to it
+    *state.write_budget = budget;  // in place, as the logs hold a pointer to it
   }
 }
 
@@ -276,7 +280,7 @@
   if (state.tasks.wanted) {
     PlaceTasks(context);
   }
-  DropDeadLogs(state);
+  EraseDroppedLogs(state);
   return effects;
 }
 
--- a/Source/scheduler/request_admission.cc
+++ b/Source/scheduler/request_admission.cc
@@ -15,20 +15,21 @@
 
 namespace {
 
-constexpr Duration kForwardMemory = std::chrono::seconds(30);
-constexpr double kRunMargin = 4;
-constexpr double kLeastShare = 0.001;
-constexpr Duration kNotReadyRetry = std::chrono::seconds(1);
+// How long after its deadline a duplicate of a forward may arrive.
+constexpr Duration kForwardDuplicateWindow = std::chrono::seconds(30);
+constexpr double kRunMarginFactor = 4;
+constexpr double kMinSlotShare = 0.001;
+constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(1);
 
 double TeamWeight(const Context& context, const std::string& team) {
   const auto it = context.policy().teams.find(team);
   return it == context.policy().teams.end() ? 1.0 : it->second.weight;
 }
 
-// The time that a request entering the queue now will wait for a slot. It gets
-// one when those of its own and the higher classes have had theirs, from what
-// the higher classes leave of the slots that come free; or by the share that is
-// kept for lower classes, after those of its own class.
+// How long a request that is queued now will wait for a slot. It gets one
+// either after the queued requests of its own and the higher classes, from the
+// service rate that new requests of the higher classes leave; or, by the share
+// reserved for lower classes, after the queued requests of its own class.
 Duration PredictWait(Context& context, const RequestEntry& entry) {
   const ServiceQueue& queue = QueueOf(context, entry.request.service);
   const auto slots =
@@ -37,38 +38,41 @@
     return Duration(0);
   }
   const std::size_t own = ClassOf(entry);
-  const double whole = static_cast<double>(slots) / queue.mean_run_us;
-  double above = 0;
+  const double service_rate = static_cast<double>(slots) / queue.mean_run_us;
+  double higher_rate = 0;
   std::size_t ahead = queue.classes[own].size() + 1;
   const double by_share =
       static_cast<double>(ahead) /
-      (whole * std::max(context.policy().urgency.batch_share, kLeastShare));
+      (service_rate *
+       std::max(context.policy().urgency.batch_share, kMinSlotShare));
   for (std::size_t it = 0; it < own; ++it) {
-    above += queue.taken[it].At(context.now());
+    higher_rate += queue.admission_rates[it].At(context.now());
     ahead += queue.classes[it].size();
   }
-  const double rest = std::max(whole - above, whole * kLeastShare);
-  const double by_rank = static_cast<double>(ahead) / rest;
-  // The slots may all have been taken in the same moment, so that none comes
-  // free for a whole run.
+  const double remaining_rate =
+      std::max(service_rate - higher_rate, service_rate * kMinSlotShare);
+  const double by_rank = static_cast<double>(ahead) / remaining_rate;
+  // All slots may have been occupied at the same moment, so that none is
+  // released for a whole run.
   const double wait = queue.mean_run_us + std::min(by_rank, by_share);
   return Duration(static_cast<Duration::rep>(wait));
 }
 
-// The longest wait with which a request is still queued. The run has to fit
-// after it, and most runs are not much longer than kRunMargin times the mean.
-// Half of what is left is kept for what the prediction doesn't know. A queue
-// so short keeps all slots busy, and who would wait longer hears it at once.
-Duration LongestWait(Context& context, const RequestEntry& entry) {
+// The longest predicted wait with which a request is still queued. The run must
+// fit in after the wait, and few runs are much longer than kRunMarginFactor
+// times the mean. Half of the remaining time is a margin for the error of the
+// prediction. A queue of this length still keeps all slots busy, and requests
+// that would wait longer are refused at once.
+Duration MaxAdmissibleWait(Context& context, const RequestEntry& entry) {
   const Duration left = entry.deadline - context.now();
   const Duration run(static_cast<Duration::rep>(
-      QueueOf(context, entry.request.service).mean_run_us * kRunMargin));
+      QueueOf(context, entry.request.service).mean_run_us * kRunMarginFactor));
   return (left - std::min(run, left / 2)) / 2;
 }
 
-// Drops the newest request of the least urgent class below this one, if the
-// queue is full. False when the queue is full of work at least as urgent.
-bool MakeRoom(Context& context, const RequestEntry& entry) {
+// If the queue is full, refuses the newest request of the least urgent class
+// below this one. False if all queued requests are at least as urgent.
+bool EnsureQueueSpace(Context& context, const RequestEntry& entry) {
   ServiceQueue& queue = QueueOf(context, entry.request.service);
   const auto limit = static_cast<std::size_t>(
       context.policy().admission.max_queue_per_service);
@@ -88,7 +92,7 @@
   return false;
 }
 
-bool OverTeamLimit(Context& context, const RequestEntry& entry) {
+bool IsOverTeamLimit(Context& context, const RequestEntry& entry) {
   const auto it = context.policy().teams.find(entry.request.team);
   if (it == context.policy().teams.end() || it->second.max_waiting <= 0) {
     return false;
@@ -111,49 +115,50 @@
                  .retry_after = RetryAfter(context, wait)});
 }
 
-// Queues the request here, or refuses it at once when it would not make its
-// deadline: a caller that hears now can come back, one that waits can't.
+// Queues the request, or refuses it at once if it would miss its deadline: an
+// early refusal leaves its caller time for a retry.
 void QueueOrRefuse(Context& context, RequestEntry& entry) {
   const std::string id = entry.request.id;
   const Duration wait = PredictWait(context, entry);
-  if (wait > LongestWait(context, entry)) {
+  if (wait > MaxAdmissibleWait(context, entry)) {
     RefuseOverloaded(context, id, wait,
                      "the queue is longer than the deadline");
     return;
   }
-  if (OverTeamLimit(context, entry)) {
+  if (IsOverTeamLimit(context, entry)) {
     RefuseRequest(context, id,
                   {.reason = Reason::kQuota,
                    .detail = "the team has too many requests waiting",
                    .retry_after = RetryAfter(context, wait)});
     return;
   }
-  if (!MakeRoom(context, entry)) {
+  if (!EnsureQueueSpace(context, entry)) {
     RefuseOverloaded(context, id, wait, "the queue is full");
     return;
   }
   Enqueue(context, entry);
 }
 
-// A minion is owned here that will take requests, if perhaps not now.
-bool HasMinion(const Context& context, const std::string& service) {
+// Whether an owned minion of the service accepts requests, now or once it has a
+// free slot.
+bool HasUsableMinion(const Context& context, const std::string& service) {
   const auto& workers = context.state().ownership.workers;
   return std::any_of(workers.begin(), workers.end(), [&](const auto& it) {
     const WorkerRecord& worker = it.second;
     return worker.info.role == InstanceRole::kMinion &&
            worker.info.service == service &&
            worker.state == OwnerState::kOwned && !worker.info.leaving &&
-           !worker.removed && !worker.silent;
+           !worker.removed && !worker.unresponsive;
   });
 }
 
 NotRun NotReady(const char* detail) {
   return {.reason = Reason::kNotReady,
           .detail = detail,
-          .retry_after = kNotReadyRetry};
+          .retry_after = kNotReadyRetryAfter};
 }
 
-// Why a request can't be taken at all; nothing when it can.
+// Why a request can't be admitted at all; nullopt if it can.
 std::optional<NotRun> RefusalOf(Context& context, const RequestEntry& entry) {
   const State& state = context.state();
   if (!state.config.loaded) {
@@ -195,7 +200,7 @@
     RefuseRequest(context, id, *refusal);
     return;
   }
-  context.At(entry.deadline, TimerKind::kRequestDeadline, id);
+  context.ScheduleAt(entry.deadline, TimerKind::kRequestDeadline, id);
   if (it->second.request.idempotent || !it->second.origin.empty()) {
     AdmitRequest(context, it->second);
     return;
@@ -246,24 +251,24 @@
                      .arrived = context.now(),
                      .deadline = context.now() + forward.request.deadline,
                      .forwarded_once = true};
-  auto& taken = context.state().requests.taken_forwards;
-  const Time forget = entry.deadline + kForwardMemory;
-  if (!taken.emplace(entry.request.id, forget).second) {
-    return;  // doubled: the first one is or was answered
+  auto& accepted = context.state().requests.accepted_forwards;
+  const Time expiry = entry.deadline + kForwardDuplicateWindow;
+  if (!accepted.emplace(entry.request.id, expiry).second) {
+    return;  // duplicate: the first message is answered
   }
   Accept(context, entry);
 }
 
 void AdmitRequest(Context& context, RequestEntry& entry) {
   ServiceQueue& queue = QueueOf(context, entry.request.service);
-  queue.taken[ClassOf(entry)].Note(context.now());
+  queue.admission_rates[ClassOf(entry)].Record(context.now());
   const bool has_waiting = queue.size() > 0;
   if (!has_waiting && TryDispatch(context, entry)) {
     return;
   }
   if (!entry.origin.empty()) {
-    // The peer counted on a free slot. Waiting here would hide the request
-    // from slots that come free there.
+    // The peer expected a free slot here. If the request were queued here, it
+    // would miss slots that are released at the peer.
     RefuseOverloaded(context, entry.request.id, PredictWait(context, entry),
                      "no free slot");
     return;
@@ -285,7 +290,7 @@
 
 void RefuseUnservable(Context& context) {
   for (auto& [service, queue] : context.state().requests.services) {
-    if (queue.size() == 0 || HasMinion(context, service)) {
+    if (queue.size() == 0 || HasUsableMinion(context, service)) {
       continue;
     }
     for (FairQueue& it : queue.classes) {
@@ -298,7 +303,7 @@
 }
 
 void ForgetOldForwards(Context& context) {
-  std::erase_if(context.state().requests.taken_forwards,
+  std::erase_if(context.state().requests.accepted_forwards,
                 [&](const auto& it) { return it.second < context.now(); });
 }
 
--- a/Source/scheduler/request_runs.cc
+++ b/Source/scheduler/request_runs.cc
@@ -12,7 +12,7 @@
 
 constexpr Resources kOneSlot{.slots = 1};
 // Weight of the newest run in the moving average.
-constexpr double kRunWeight = 0.05;
+constexpr double kNewestRunWeight = 0.05;
 constexpr double kMaxRetryTokens = 100;
 
 bool TakeRetryToken(Context& context) {
@@ -75,10 +75,10 @@
     ServiceQueue& queue = QueueOf(context, entry.request.service);
     const auto run =
         static_cast<double>((context.now() - entry.started).count());
-    queue.mean_run_us =
-        queue.mean_run_us == 0
-            ? run
-            : queue.mean_run_us * (1 - kRunWeight) + run * kRunWeight;
+    queue.mean_run_us = queue.mean_run_us == 0
+                            ? run
+                            : queue.mean_run_us * (1 - kNewestRunWeight) +
+                                  run * kNewestRunWeight;
     state.requests.retry_tokens = std::min(
         state.requests.retry_tokens + context.policy().retries.budget_ratio,
         kMaxRetryTokens);
@@ -120,7 +120,7 @@
   AdmitRequest(context, entry);
 }
 
-void OnRunUncertain(Context& context, const std::string& id) {
+void OnRunUnverified(Context& context, const std::string& id) {
   State& state = context.state();
   const auto it = state.requests.entries.find(id);
   if (it == state.requests.entries.end()) {
@@ -128,19 +128,19 @@
   }
   RequestEntry& entry = it->second;
   const auto minion = state.ownership.workers.find(entry.minion);
-  const bool can_ask = minion != state.ownership.workers.end() &&
-                       IsSettled(context, minion->second);
-  if (!can_ask || !entry.request.idempotent || entry.answered) {
+  const bool can_verify = minion != state.ownership.workers.end() &&
+                          IsOwnedAndResponsive(context, minion->second);
+  if (!can_verify || !entry.request.idempotent || entry.answered) {
     FinishRequest(context, id,
                   MayHaveRun{.reason = Reason::kConnectionLost,
                              .detail = "the minion's answer was lost"});
     return;
   }
-  entry.state = RequestState::kSettling;
+  entry.state = RequestState::kUnverified;
   entry.may_have_run = true;
 }
 
-void OnRunVanished(Context& context, const AttemptId& attempt) {
+void OnRunLost(Context& context, const AttemptId& attempt) {
   State& state = context.state();
   const std::string id = RequestOfAttempt(attempt);
   const auto it = state.requests.entries.find(id);
--- a/Source/scheduler/requests.cc
+++ b/Source/scheduler/requests.cc
@@ -15,9 +15,9 @@
 
 constexpr char kRequestPrefix[] = "q.";
 
-// The class to serve next. Urgent goes first, but of any 1 / batch_share picks
-// one goes to the classes below, so that a flood of urgent work delays the
-// rest without starving it.
+// The class to serve next: the most urgent one with queued requests, but one of
+// every 1 / batch_share picks goes to the next lower class, so that a flood of
+// urgent work doesn't starve the rest.
 std::optional<std::size_t> NextClass(Context& context, ServiceQueue& queue) {
   const double share = context.policy().urgency.batch_share;
   std::optional<std::size_t> first;
@@ -41,11 +41,11 @@
                                                                        : first;
 }
 
-// What is left of the deadline is shorter than a usual run: a slot given to it
-// would most likely be wasted.
-bool IsDoomed(const Context& context,
-              const RequestEntry& entry,
-              const ServiceQueue& queue) {
+// Whether less time than the mean run is left before the deadline, so that a
+// slot would most likely be wasted on the request.
+bool WillMissDeadline(const Context& context,
+                      const RequestEntry& entry,
+                      const ServiceQueue& queue) {
   const Duration run(static_cast<Duration::rep>(queue.mean_run_us));
   const bool had_time = entry.deadline - entry.arrived > run;
   return had_time && context.now() + run > entry.deadline;
@@ -65,7 +65,7 @@
     const auto which = NextClass(context, queue);
     const std::string id = *queue.classes[*which].Pop();
     RequestEntry& entry = state.requests.entries.at(id);
-    if (IsDoomed(context, entry, queue)) {
+    if (WillMissDeadline(context, entry, queue)) {
       RefuseRequest(context, id,
                     {.reason = Reason::kOverloaded,
                      .detail = "too little time is left for a run",
@@ -136,13 +136,13 @@
   if (it == state.requests.entries.end()) {
     return;
   }
-  // `given_id` may be the name that is kept in the entry itself. Read after the
-  // entry is gone it is empty: a peer's answer then names no request, and a
-  // key's claim is never settled.
+  // `given_id` may refer to the string in the entry itself, which is empty once
+  // the entry has been moved from: the answer to a peer would then name no
+  // request and the claim of a key would never be settled.
   const std::string id = it->first;
   const RequestEntry entry = std::move(it->second);
-  // A refusal is of the last try alone. Told as it is, a caller whose first try
-  // ran and lost its answer would hear that nothing ran.
+  // A refusal applies to the last attempt only. If the answer of an earlier
+  // attempt was lost, the caller must not be answered "not run".
   if (const auto* last = std::get_if<NotRun>(&verdict);
       last != nullptr && entry.may_have_run) {
     verdict = MayHaveRun{
@@ -204,7 +204,7 @@
       RefuseRequest(context, id, late);
       return;
     case RequestState::kForwarded:
-    case RequestState::kSettling:
+    case RequestState::kUnverified:
       FinishRequest(context, id,
                     MayHaveRun{.reason = Reason::kDeadline,
                                .detail = "no answer before the deadline"});
@@ -212,7 +212,8 @@
     case RequestState::kRunning:
       break;
   }
-  // It goes on running and holds its slot; only the caller is told.
+  // The request keeps running and occupies its slot; only its caller is
+  // answered.
   const RequestEntry kept = entry;
   FinishRequest(context, id,
                 MayHaveRun{.reason = Reason::kDeadline,
@@ -235,7 +236,7 @@
   }
   const RequestState at = it->second.state;
   const bool is_out = at == RequestState::kRunning ||
-                      at == RequestState::kSettling ||
+                      at == RequestState::kUnverified ||
                       at == RequestState::kForwarded;
   WorkStatus status{.id = id, .is_request = true, .count = 1};
   status.state = is_out ? WorkState::kRunning : WorkState::kQueued;
@@ -272,7 +273,7 @@
       context.Send(entry.peer, CancelForward{.id = id});
       break;
     case RequestState::kRunning:
-    case RequestState::kSettling: {
+    case RequestState::kUnverified: {
       const auto minion = state.ownership.workers.find(entry.minion);
       if (minion != state.ownership.workers.end()) {
         CommandWorker(context, minion->second,
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -1,4 +1,5 @@
-// Status and cancellation of work, here or at the writer of its journal.
+// Status and cancellation of work, handled here or by the writer of its
+// journal.
 #include <string>
 
 #include "scheduler/context.h"
@@ -11,8 +12,8 @@
 
 namespace {
 
-constexpr Duration kAskRetryAfter = std::chrono::seconds(2);
-constexpr Duration kAskPatience = std::chrono::seconds(2);
+constexpr Duration kQueryRetryAfter = std::chrono::seconds(2);
+constexpr Duration kQueryTimeout = std::chrono::seconds(2);
 
 void AnswerNotFound(Context& context, ReplyId reply, const std::string& id) {
   context.Answer(
@@ -31,25 +32,25 @@
                                    .detail = "the entry instance that writes "
                                              "the job's journal is not known; "
                                              "ask again",
-                                   .retry_after = kAskRetryAfter}});
+                                   .retry_after = kQueryRetryAfter}});
 }
 
-void AskWriter(Context& context,
-               const WorkAsked& asked,
-               const std::string& writer) {
+void QueryWriter(Context& context,
+                 const WorkQueryArrived& asked,
+                 const std::string& writer) {
   Jobs& jobs = context.state().jobs;
-  const std::uint64_t ask = jobs.next_ask++;
-  jobs.asks.emplace(ask, OpenAsk{.reply = asked.reply,
+  const std::uint64_t query_id = jobs.next_ask++;
+  jobs.asks.emplace(query_id, OpenAsk{.reply = asked.reply,
                                  .id = asked.id,
                                  .cancel = asked.cancel,
-                                 .until = context.now() + kAskPatience});
+                                 .until = context.now() + kQueryTimeout});
   context.Send(writer,
-               AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
+               AskWork{.ask = query_id, .id = asked.id, .cancel = asked.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkAsked& asked) {
+void OnWorkAsked(Context& context, const WorkQueryArrived& asked) {
   const auto request = asked.cancel ? CancelRequest(context, asked.id)
                                     : RequestStatus(context, asked.id);
   if (request) {
@@ -76,7 +77,7 @@
     AnswerNotFound(context, asked.reply, asked.id);
     return;
   }
-  AskWriter(context, asked, writer);
+  QueryWriter(context, asked, writer);
 }
 
 void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
@@ -99,8 +100,8 @@
                                    .status = *JobStatus(context, ask.id)});
 }
 
-// The writer may have died with the question: the caller hears that it has to
-// ask again instead of nothing. A cancel may have been taken.
+// The writer may be lost together with the query: its caller is answered that
+// it has to repeat the query. A cancellation may have been executed.
 void ExpireAsks(Context& context) {
   Jobs& jobs = context.state().jobs;
   for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
@@ -113,7 +114,7 @@
                              .detail =
                                  "the writer of the job's journal does "
                                  "not answer; ask again",
-                             .retry_after = kAskRetryAfter};
+                             .retry_after = kQueryRetryAfter};
     if (ask.cancel) {
       verdict = MayHaveRun{.reason = Reason::kOwnerLost,
                            .detail =
@@ -129,7 +130,7 @@
   Jobs& jobs = context.state().jobs;
   const auto it = jobs.asks.find(answer.ask);
   if (it == jobs.asks.end()) {
-    return;  // doubled
+    return;  // duplicate
   }
   const OpenAsk ask = it->second;
   jobs.asks.erase(it);
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -14,9 +14,11 @@
 
 namespace {
 
-constexpr Duration kRetryRenew = std::chrono::milliseconds(500);
-constexpr Duration kQuiet = std::chrono::seconds(5);
-constexpr std::uint32_t kMaxDeposedShift = 6;
+constexpr Duration kRenewRetryDelay = std::chrono::milliseconds(500);
+// Base and cap of the exponential backoff before a lost worker is claimed
+// again.
+constexpr Duration kClaimBackoff = std::chrono::seconds(5);
+constexpr std::uint32_t kMaxClaimBackoffShift = 6;
 
 using AttemptSet = std::unordered_set<AttemptId, AttemptIdHash>;
 
@@ -30,23 +32,23 @@
   return OwnerName(self.instance, self.incarnation);
 }
 
-void NoteAnswer(Context& context, WorkerRecord& worker) {
+void RecordAnswer(Context& context, WorkerRecord& worker) {
   worker.last_answer = context.now();
-  const bool was_shut = worker.silent || worker.suspect;
-  worker.silent = false;
+  const bool was_closed = worker.unresponsive || worker.suspect;
+  worker.unresponsive = false;
   worker.suspect = false;
-  if (was_shut) {
+  if (was_closed) {
     UpdateOpen(context, worker);
   }
-  // The renewals stopped when the worker fell silent; any answer starts them
-  // again.
+  // Renewals stop when the worker becomes unresponsive; any answer resumes
+  // them.
   if (IsOurs(worker) && worker.poll == 0) {
-    context.At(context.now(), TimerKind::kRenew, worker.info.id);
+    context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
   }
 }
 
-// Books what the worker has and this process did not know: attempts that an
-// earlier owner started.
+// Books an attempt that the worker reports and this process doesn't know, as an
+// earlier owner started it.
 void BookReported(Context& context,
                   WorkerRecord& worker,
                   const AttemptReport& report) {
@@ -76,20 +78,21 @@
     return;
   }
   Booking& booking = it->second;
-  const bool news = booking.state != report.state;
+  const bool has_changed = booking.state != report.state;
   if (booking.confirmed == Time(0)) {
     booking.confirmed = context.now();
   }
   booking.state = report.state;
-  if (booking.uncertain && !booking.is_request) {
-    booking.uncertain = false;
+  if (booking.unverified && !booking.is_request) {
+    booking.unverified = false;
     OnStartDone(context, worker, report.attempt);
-  } else if (news && !booking.is_request) {
+  } else if (has_changed && !booking.is_request) {
     TellWriter(context, worker, booking);
   }
 }
 
-// Attempts that are booked, were there to be seen, and are not reported.
+// Booked attempts that the reports should contain but don't. `seen_from` is
+// when the renewal was sent; `definite` is true for the report of a claim.
 std::vector<AttemptId> Missing(const WorkerRecord& worker,
                                const std::vector<AttemptReport>& reports,
                                Time seen_from,
@@ -103,14 +106,14 @@
     if (booking.state == AttemptState::kEnded || reported.contains(attempt)) {
       continue;
     }
-    // A start that the worker confirmed before this renewal was sent was there
-    // when the renewal arrived. One that was confirmed later may have passed
-    // it on another connection: taking that one as ended would run it twice.
-    // Once the worker has accepted a higher epoch, all that it accepted before
-    // is in its report, and what is still under way will be refused.
+    // A start that was confirmed before this renewal was sent had taken effect
+    // when the renewal arrived. A start confirmed later may have overtaken the
+    // report on another connection: if it were declared ended, it would run
+    // twice. After the worker has accepted a higher epoch, its report contains
+    // all starts accepted before, and it refuses those still in flight.
     const bool is_confirmed = booking.confirmed != Time(0);
     const bool was_there = is_confirmed && booking.confirmed < seen_from;
-    const bool is_settled = definite && (booking.uncertain || is_confirmed);
+    const bool is_settled = definite && (booking.unverified || is_confirmed);
     if (was_there || is_settled) {
       missing.push_back(attempt);
     }
@@ -123,13 +126,13 @@
                    const AttemptId& attempt) {
   const Booking& booking = worker.bookings.at(attempt);
   if (booking.is_request) {
-    // A run whose call is still open gets its answer there.
-    const bool uncertain = booking.uncertain;
-    if (uncertain || !IsOpenRequest(context, attempt)) {
+    // A run with an outstanding call is completed by the answer to that call.
+    const bool was_unverified = booking.unverified;
+    if (was_unverified || !IsOpenRequest(context, attempt)) {
       EraseBooking(context, worker, attempt);
     }
-    if (uncertain) {
-      OnRunVanished(context, attempt);
+    if (was_unverified) {
+      OnRunLost(context, attempt);
     }
     return;
   }
@@ -181,20 +184,20 @@
                      const ClaimPurpose& purpose,
                      const ClaimAccepted& accepted) {
   if (accepted.epoch < worker.epoch) {
-    return;  // a claim that a later one has overtaken
+    return;  // superseded by a later claim
   }
   worker.epoch = accepted.epoch;
   worker.owner = OwnName(context);
   worker.claim_refusals = 0;
-  worker.wanted_since = Time(0);
-  worker.proven = purpose.sent;
+  worker.desired_since = Time(0);
+  worker.ownership_verified_at = purpose.sent;
   ++context.state().counters.claims;
   TakeOwnership(context, worker, accepted.capacity);
-  NoteAnswer(context, worker);
+  RecordAnswer(context, worker);
   ApplyReports(context, worker, accepted.attempts, context.now(), true);
   UpdateOpen(context, worker);
-  context.At(context.now(), TimerKind::kRenew, worker.info.id);
-  context.state().ownership.pending.insert(worker.info.id);
+  context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
+  context.state().ownership.pending_checks.insert(worker.info.id);
 }
 
 void LoseOwnership(Context& context,
@@ -209,8 +212,10 @@
   worker.epoch = stale.epoch;
   worker.owner = stale.owner;
   if (!was_offered) {
-    worker.deposed = std::min(worker.deposed + 1, kMaxDeposedShift);
-    worker.quiet_until = context.now() + kQuiet * (1U << worker.deposed);
+    worker.ownership_losses =
+        std::min(worker.ownership_losses + 1, kMaxClaimBackoffShift);
+    worker.claim_backoff_until =
+        context.now() + kClaimBackoff * (1U << worker.ownership_losses);
   }
   ReleaseWorker(context, worker);
 }
@@ -222,7 +227,7 @@
   const bool is_own_claim =
       worker.claim_in_flight && stale.owner == OwnName(context);
   if (stale.epoch <= worker.epoch || is_own_claim) {
-    return;  // this process itself has claimed it again since
+    return;  // this process has itself claimed the worker again
   }
   if (IsOurs(worker)) {
     LoseOwnership(context, worker, stale);
@@ -230,7 +235,7 @@
     worker.epoch = stale.epoch;
     worker.owner = stale.owner;
   }
-  context.state().ownership.pending.insert(worker.info.id);
+  context.state().ownership.pending_checks.insert(worker.info.id);
 }
 
 void OnClaimRefused(Context& context,
@@ -240,13 +245,13 @@
   context.Log(EventNumber::kClaimRefused,
               {{"worker", worker.info.id}, {"owner", stale.owner}});
   OnStaleEpoch(context, worker, stale);
-  // The first refusal only tells the epoch; the next claim goes out at once.
+  // The first refusal only reveals the epoch; the next claim is sent at once.
   const Duration wait =
       worker.claim_refusals == 1
           ? Duration(0)
           : context.Jitter(std::chrono::seconds(1) * worker.claim_refusals);
   worker.claim_after = context.now() + wait;
-  context.At(worker.claim_after, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.claim_after, TimerKind::kClaim, worker.info.id);
 }
 
 void OnClaimAnswer(Context& context,
@@ -263,27 +268,27 @@
     UpdateOpen(context, worker);
     return;
   }
-  // The claim may have been accepted. Claiming again with the same epoch
-  // settles that, as the worker accepts it from the same owner once more.
+  // The claim may have been accepted. It is repeated with the same epoch, which
+  // the worker accepts again from the same owner.
   ++worker.claim_refusals;
   const Duration wait = context.Jitter(
       std::min<Duration>(std::chrono::milliseconds(500) * worker.claim_refusals,
                          std::chrono::seconds(5)));
   worker.claim_after = context.now() + wait;
-  context.At(worker.claim_after, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.claim_after, TimerKind::kClaim, worker.info.id);
   UpdateOpen(context, worker);
 }
 
-void OnSilence(Context& context, WorkerRecord& worker) {
-  worker.silent = true;
+void OnUnresponsive(Context& context, WorkerRecord& worker) {
+  worker.unresponsive = true;
   context.Log(EventNumber::kWorkerSilent, {{"worker", worker.info.id}});
   UpdateOpen(context, worker);
-  // From here on no lease is renewed, so that the time is known by which all
-  // that runs there has ended. Claims, which renew nothing, probe for it.
+  // No lease is renewed from now on, so that it is known when all attempts on
+  // the worker have ended. Claims, which renew no lease, probe the worker.
   const LeasePolicy& lease = context.policy().lease;
-  context.At(worker.lease_sent + lease.task_lease + lease.drift,
-             TimerKind::kLeaseBound, worker.info.id);
-  context.After(kRetryRenew, TimerKind::kClaim, worker.info.id);
+  context.ScheduleAt(worker.lease_sent + lease.task_lease + lease.drift,
+                     TimerKind::kLeaseBound, worker.info.id);
+  context.ScheduleAfter(kRenewRetryDelay, TimerKind::kClaim, worker.info.id);
 }
 
 void OnRenewAnswer(Context& context,
@@ -292,16 +297,17 @@
                    const RenewPurpose& purpose,
                    const WorkerResult& result) {
   if (const auto* done = std::get_if<RenewDone>(&result)) {
-    NoteAnswer(context, worker);
+    RecordAnswer(context, worker);
     if (purpose_epoch == worker.epoch) {
-      worker.proven = std::max(worker.proven, purpose.sent);
+      worker.ownership_verified_at =
+          std::max(worker.ownership_verified_at, purpose.sent);
     }
     worker.version = std::max(worker.version, done->version);
     worker.usage = done->usage;
     worker.go.clear();
     ApplyReports(context, worker, done->attempts, purpose.sent, false);
     if (purpose.is_poll) {
-      context.At(context.now(), TimerKind::kRenew, worker.info.id);
+      context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
     }
     return;
   }
@@ -310,14 +316,15 @@
   }
   worker.suspect = true;
   UpdateOpen(context, worker);
-  const Duration quiet = context.now() - worker.last_answer;
-  if (!worker.silent && quiet > context.policy().lease.worker_silent) {
-    OnSilence(context, worker);
+  const Duration since_answer = context.now() - worker.last_answer;
+  if (!worker.unresponsive &&
+      since_answer > context.policy().lease.worker_silent) {
+    OnUnresponsive(context, worker);
     return;
   }
   if (purpose.is_poll) {
-    context.After(context.Jitter(kRetryRenew), TimerKind::kRenew,
-                  worker.info.id);
+    context.ScheduleAfter(context.Jitter(kRenewRetryDelay), TimerKind::kRenew,
+                          worker.info.id);
   }
 }
 
@@ -327,11 +334,11 @@
                    const WorkerResult& result) {
   const auto it = worker.bookings.find(attempt);
   if (it == worker.bookings.end()) {
-    return;  // settled by a report, or the worker is another's now
+    return;  // resolved by a report, or the worker is no longer owned
   }
   Booking& booking = it->second;
   if (std::holds_alternative<StartDone>(result)) {
-    NoteAnswer(context, worker);
+    RecordAnswer(context, worker);
     booking.confirmed = context.now();
     OnStartDone(context, worker, attempt);
     return;
@@ -350,7 +357,7 @@
     OnStartNotDone(context, worker, attempt, "unreachable");
     RenewNow(context, worker);
   } else {
-    booking.uncertain = true;
+    booking.unverified = true;
     Reclaim(context, worker);
   }
   UpdateOpen(context, worker);
@@ -362,8 +369,8 @@
                  const WorkerResult& result) {
   if (const auto* ended = std::get_if<RunEnded>(&result)) {
     EraseBooking(context, worker, purpose.attempt);
-    NoteEnd(context, worker, purpose.request, ended->outcome != Outcome::kDone,
-            false);
+    RecordAttemptEnd(context, worker, purpose.request,
+                     ended->outcome != Outcome::kDone, false);
     OnRunEnded(context, purpose.request, *ended);
     return;
   }
@@ -383,9 +390,9 @@
   worker.suspect = true;
   const auto it = worker.bookings.find(purpose.attempt);
   if (it != worker.bookings.end()) {
-    it->second.uncertain = true;
+    it->second.unverified = true;
   }
-  OnRunUncertain(context, purpose.request);
+  OnRunUnverified(context, purpose.request);
   Reclaim(context, worker);
   UpdateOpen(context, worker);
 }
@@ -414,8 +421,8 @@
     if (stale == nullptr) {
       OnRenewAnswer(context, worker, purpose.epoch, *renew, result);
     } else if (renew->is_poll && purpose.epoch < worker.epoch) {
-      // This process raised the epoch itself while the renewal was under way.
-      context.At(context.now(), TimerKind::kRenew, worker.info.id);
+      // This process advanced the epoch itself while the renewal was in flight.
+      context.ScheduleAt(context.now(), TimerKind::kRenew, worker.info.id);
     }
   }
   if (stale != nullptr) {
@@ -437,7 +444,7 @@
                 {{"attempt", ToString(it)}, {"worker", worker.info.id}});
     if (booking.is_request) {
       EraseBooking(context, worker, it);
-      OnRunVanished(context, it);
+      OnRunLost(context, it);
     } else {
       OnEndReported(context, worker,
                     {.attempt = it,
@@ -466,7 +473,7 @@
 
 }  // namespace
 
-void LoseSight(Context& context, WorkerRecord& worker) {
+void OrphanLiveAttempts(Context& context, WorkerRecord& worker) {
   for (const Booking& it : LiveTasks(worker)) {
     context.Log(EventNumber::kAttemptLost, {{"attempt", ToString(it.attempt)},
                                             {"worker", worker.info.id}});
@@ -484,13 +491,13 @@
   }
   worker.state = OwnerState::kFree;
   for (const auto& [attempt, booking] : worker.bookings) {
-    state.ownership.holders.erase(attempt);
+    state.ownership.attempt_workers.erase(attempt);
   }
   worker.bookings.clear();
   worker.acknowledge.clear();
   worker.go.clear();
-  // The new owner reports what it found there; what it did not find is looked
-  // for.
+  // The new owner reports the attempts that it finds there; the others are
+  // searched for.
   for (const Booking& it : moved) {
     OnAttemptMoved(context, it);
   }
--- a/Tests/scheduler/asked_requests.h
+++ b/Tests/scheduler/submitted_requests.h
@@ -1,7 +1,7 @@
-// Requests that a test asks for, each known by a key, and the check that what
-// their callers were told is true.
-#ifndef BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
-#define BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
+// Requests submitted by a test, each identified by a key, and the check that
+// their verdicts are true.
+#ifndef BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
+#define BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
 
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
 
 namespace burdockrock {
 
-// One minion with 8 slots in each domain, as most of these tests use.
+// Slots of the one minion per domain that most of these tests use.
 inline constexpr int kSlots = 8;
 
 inline Request KeyedRequest(const std::string& key, int sleep_ms) {
@@ -25,10 +25,11 @@
                      ";key=" + key);
 }
 
-// Requests by the key that the recorder counts them by.
-class Asked {
+// The submitted requests, by the key under which the recorder counts their
+// runs.
+class SubmittedRequests {
  public:
-  explicit Asked(EntryGroup& group) : group_(group) {}
+  explicit SubmittedRequests(EntryGroup& group) : group_(group) {}
 
   ReplyId Submit(const std::string& entry,
                  const std::string& key,
@@ -40,7 +41,7 @@
                  const std::string& key,
                  const Request& request) {
     const ReplyId reply = group_.Submit(entry, request);
-    asked_.emplace_back(reply, key);
+    submitted_.emplace_back(reply, key);
     return reply;
   }
 
@@ -53,11 +54,12 @@
     }
   }
 
-  // Every request was answered; who hears "not run" was not run, and who hears
-  // "ran" was run once and has its own answer. Counts the "not run" by reason.
+  // Checks that every request was answered; that one with the verdict "not run"
+  // did not run, and one with "ran" ran once and got its own answer. Returns
+  // the count of "not run" by reason.
   std::map<Reason, int> Check() const {
     std::map<Reason, int> refused;
-    for (const auto& it : asked_) {
+    for (const auto& it : submitted_) {
       const ReplyId reply = it.first;
       const std::string& key = it.second;
       CAPTURE(key);
@@ -78,7 +80,7 @@
 
  private:
   EntryGroup& group_;
-  std::vector<std::pair<ReplyId, std::string>> asked_;
+  std::vector<std::pair<ReplyId, std::string>> submitted_;
 };
 
 inline std::string NameOf(const char* prefix, int number) {
@@ -87,4 +89,4 @@
 
 }  // namespace burdockrock
 
-#endif  // BURDOCKROCK_TESTS_SCHEDULER_ASKED_REQUESTS_H_
+#endif  // BURDOCKROCK_TESTS_SCHEDULER_SUBMITTED_REQUESTS_H_
