--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_news.cc
@@ -19,7 +19,7 @@
       std::min(policy.backoff_min * (1U << shift), policy.backoff_max));
 }
 
-// Tries the task again after a while.
+// Requeues the task after a backoff.
 void RetryLater(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   NoteReturned(context, job, index);
@@ -102,9 +102,9 @@
     return;
   }
   if (held && task->state == TaskState::kRunning) {
-    return;  // overtaken by the news that it runs
+    return;  // reordered: a later update said that it runs
   }
-  // An adopted journal doesn't know the attempt numbers of its former writer.
+  // The attempt numbers of an adopted journal's former writer aren't recorded.
   task->attempt = attempt.number;
   task->worker = worker;
   task->owner = owner;
@@ -181,7 +181,8 @@
       NoteReturned(context, *job, index);
       EndTask(context, *job, index, TaskState::kDone);
       if (is_gang && !job->gang_running && !job->settling) {
-        BackOffGang(context, *job, "a member ended while others were stopped");
+        BackOffGang(context, *job,
+                    "a task ended while others were being stopped");
       }
       return;  // acknowledged when it is recorded
     case Outcome::kFailed:
@@ -189,7 +190,7 @@
       OnTaskFailed(context, *job, index, worker);
       if (task->state == TaskState::kEnding) {
         if (is_gang) {
-          BackOffGang(context, *job, "a member failed for good");
+          BackOffGang(context, *job, "a task failed and is not retried");
         }
         return;
       }
@@ -227,8 +228,8 @@
   }
   task.state = TaskState::kOrphaned;
   task.owner.clear();
-  // What an earlier search has covered says nothing of an attempt that was
-  // orphaned after it: the worker may have changed hands since.
+  // The coverage of an earlier search doesn't apply to an attempt that was
+  // orphaned later: its worker may have a new owner.
   const auto search = context.state().searches.find(job.log);
   const bool is_fresh = search != context.state().searches.end() &&
                         search->second.started == context.now() &&
@@ -253,7 +254,7 @@
     return;
   }
   const bool is_gang = job.spec.kind == JobKind::kGang;
-  // The tasks of a gang that was never told to go were held and did not run.
+  // Before the go was sent, the tasks of a gang were held and did not run.
   const bool may_have_run = task.dispatched && (!is_gang || job.went);
   if (!job.spec.idempotent && may_have_run) {
     NoteReturned(context, job, index);
@@ -277,7 +278,7 @@
                    AppendOutcome outcome) {
   Job* job = FindJob(context, id);
   if (job == nullptr || outcome != AppendOutcome::kCommitted) {
-    return;  // fenced: the journal's new writer decides
+    return;  // fenced: the journal's new writer takes over
   }
   Task& task = job->tasks[index];
   task.state = task.end;
--- a/Source/scheduler/attempt_news.h
+++ b/Source/scheduler/attempt_news.h
@@ -1,4 +1,4 @@
-// What becomes of attempts, as the writer of their job's journal hears it.
+// Handles updates of attempts at the writer of their job's journal.
 #ifndef BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
 #define BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
 
@@ -13,32 +13,37 @@
 
 class Context;
 
-// News of an attempt of a job whose journal this process writes. `owner` is
-// the member that owns the worker.
+// Handle updates of an attempt of a job whose journal this process writes.
+// `owner` is the member that owns the worker. Outdated updates are ignored.
 void OnAttemptRunning(Context& context,
                       const AttemptId& attempt,
                       bool held,
                       const std::string& worker,
                       const std::string& owner);
-// Nothing was started, and nothing will be.
+// The attempt was not started and will not be.
 void OnAttemptNotStarted(Context& context,
                          const AttemptId& attempt,
                          const std::string& why);
+// The end is acknowledged once it is recorded, or at once if nothing needs to
+// be recorded.
 void OnAttemptEnded(Context& context,
                     const AttemptReport& report,
                     const std::string& worker,
                     const std::string& owner);
 
-// Not known whether the attempt runs: it is looked for.
+// Marks a task whose attempt may or may not be running, and searches for the
+// attempt.
 void OrphanTask(Context& context, Job& job, std::uint32_t task);
 
-// Nobody has the attempt: it is tried again or, if non-idempotent, given up.
+// Handles an attempt that no worker has: the task is retried or, if it is
+// non-idempotent and may have run, ended as such.
 void OnAttemptLost(Context& context, Job& job, std::uint32_t task);
 
-// The end of a task, durable before its worker may forget it.
+// Appends the end of a task to the journal. The worker is allowed to forget the
+// attempt only after the record is durable.
 void EndTask(Context& context, Job& job, std::uint32_t task, TaskState end);
 
-// What the journal answered to the record of an end or a dispatch.
+// Handle the outcome of appending the record of an end or a dispatch.
 void OnEndRecorded(Context& context,
                    const std::string& id,
                    std::uint32_t task,
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -28,9 +28,8 @@
   return lines;
 }
 
-// Tries the watch again later, later with each failure and never in step with
-// other processes: when the platform comes back it must not meet all of them
-// at once.
+// Retries the watch with exponential backoff and jitter, so that the processes
+// don't all call the platform at once when it is available again.
 void RetryWatch(Context& context) {
   ConfigState& config = context.state().config;
   config.backoff = std::clamp(config.backoff * 2, kFirstBackoff, kLastBackoff);
@@ -84,7 +83,7 @@
     return;
   }
   if (item.revision == purpose.expect) {
-    // The write may still be under way; only the operator can decide.
+    // The write may still be in progress; only the operator can decide.
     AnswerUnavailable(context, purpose.reply, true);
     return;
   }
@@ -131,8 +130,8 @@
   SetWriteBudget(context.state());
   context.Log(EventNumber::kConfigurationApplied,
               {{"revision", std::to_string(view.revision)}});
-  // Peers hear of it with the next digest; the sooner that goes out, the
-  // sooner the change is in force everywhere.
+  // Sends the document to the peers of the domain without waiting for the next
+  // digest, so that the change takes effect sooner.
   for (const auto& [id, peer] : context.state().membership.peers) {
     if (IsDomainPeer(context, peer) &&
         peer.digest.config_revision < view.revision) {
@@ -198,8 +197,8 @@
                                            "platform's 1 MB for a value"}});
     return;
   }
-  // The answer was lost, perhaps after the write took effect. Writing again
-  // could overwrite another operator's later change; reading back can't.
+  // The reply was lost, and the write may have taken effect. A second write
+  // could overwrite a later change of another operator; reading back can't.
   const auto* lost = std::get_if<PlatformUnavailable>(&result);
   if (lost != nullptr && !lost->may_have_taken_effect) {
     AnswerUnavailable(context, purpose.reply, false);
@@ -211,8 +210,8 @@
 void OnWatchTimer(Context& context) {
   State& state = context.state();
   ConfigState& config = state.config;
-  // Until the platform or a peer has told both documents, each process asks
-  // for itself.
+  // Each process reads the platform itself until it has both documents, from
+  // the platform or from a peer.
   const bool must_ask = config.seen == 0 || !state.membership.has_instances;
   if (!must_ask && !IsWatcher(context)) {
     return;
@@ -235,7 +234,7 @@
   }
   if (!config.watching_instances) {
     config.watching_instances = true;
-    // The list may be known while the policy is still asked for.
+    // The list may be known while the policy is still missing.
     const Duration list_wait =
         state.membership.has_instances ? kWatchWait : wait;
     context.CallPlatform(
@@ -259,9 +258,9 @@
     }
   }
   if (config.seen == 0) {
-    // Nothing has been stored yet. Taken for a success this would start the
-    // wait between tries anew each time, and each process would ask several
-    // times a second for as long as there is no policy.
+    // No policy has been stored yet. If this counted as a success, it would
+    // reset the backoff each time, and each process would call the platform
+    // several times a second until there is a policy.
     if (!config.awaited) {
       config.awaited = true;
       context.Log(EventNumber::kConfigurationAwaited, {});
--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -1,8 +1,8 @@
-// The policy in force, how it arrives and how it is changed.
+// The policy in force, its distribution and its changes.
 //
-// One member of each domain watches the platform; the others learn of a new
-// revision from digests and pull it from a peer. A revision lower than the one
-// in force is never applied.
+// One member of each domain watches the platform; the others see a new revision
+// in digests and fetch it from a peer. A revision lower than the one in force
+// is never applied.
 #ifndef BURDOCKROCK_SCHEDULER_CONFIG_STATE_H_
 #define BURDOCKROCK_SCHEDULER_CONFIG_STATE_H_
 
@@ -21,11 +21,13 @@
   Policy policy;
   ConfigView view;
   bool loaded = false;
-  Revision seen = 0;     // also of a document that could not be applied
-  bool awaited = false;  // that there is no policy yet has been logged
+  Revision seen =
+      0;  // the latest, also of a document that could not be applied
+  bool awaited = false;  // the absence of a policy has been logged
   bool watching = false;
   bool watching_instances = false;
-  bool read_instances = false;  // the platform has answered since the start
+  bool read_instances =
+      false;  // the platform has sent the list since the start
   Duration backoff{0};
   Time retry_at{0};
 };
@@ -33,13 +35,16 @@
 // Applies a document if it is newer than the one in force.
 void ApplyConfig(Context& context, const ConfigView& view);
 
+// Answers with the document in force.
 void OnConfigAsked(Context& context, const ConfigAsked& asked);
+// Checks a proposed document and writes it to the platform if its expected
+// revision is current.
 void OnConfigProposed(Context& context, const ConfigProposed& proposed);
 void OnConfigWritten(Context& context,
                      const ConfigWritePurpose& purpose,
                      const PlatformResult& result);
 
-// Starts the watches that this process is to hold.
+// Starts the watches that this process is responsible for.
 void OnWatchTimer(Context& context);
 void OnConfigWatched(Context& context, const PlatformResult& result);
 void OnInstancesWatched(Context& context, const PlatformResult& result);
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -13,10 +13,11 @@
 
 constexpr Duration kDrainInterval = std::chrono::milliseconds(200);
 constexpr Duration kOfferInterval = std::chrono::seconds(1);
-// Accepted jobs are durable: a peer takes their journal over also after this
-// process has exited. The hand-over is waited for only so long.
+// How long the drain waits for the handover of journals. Accepted jobs are
+// durable: a peer can adopt their journal after this process has exited.
 constexpr Duration kJournalPatience = std::chrono::seconds(10);
-// The same for workers with running tasks when there is no member to take them.
+// How long the drain waits for tasks on owned workers when there is no member
+// to hand the workers to.
 constexpr Duration kWorkerPatience = std::chrono::seconds(30);
 
 void EmptyQueues(Context& context) {
@@ -61,7 +62,7 @@
   }
 }
 
-// On the workers that this process owns.
+// Whether no owned worker has an attempt.
 bool IsIdle(const State& state) {
   return std::all_of(state.ownership.workers.begin(),
                      state.ownership.workers.end(),
@@ -97,7 +98,8 @@
   for (auto& [id, worker] : state.ownership.workers) {
     UpdateOpen(context, worker);
   }
-  // The digest tells the peers at once; the review hands the workers over.
+  // The digest announces the drain to the peers at once; the drain timer hands
+  // the workers over.
   context.At(context.now(), TimerKind::kDigest);
   context.At(context.now(), TimerKind::kDrain);
 }
--- a/Source/scheduler/drain.h
+++ b/Source/scheduler/drain.h
@@ -1,5 +1,5 @@
-// The planned stop: no new work, workers and journals handed over, running
-// requests finished, then exit.
+// The planned stop of a process: refuses new work, hands its workers and
+// journals over, finishes running requests and exits.
 #ifndef BURDOCKROCK_SCHEDULER_DRAIN_H_
 #define BURDOCKROCK_SCHEDULER_DRAIN_H_
 
@@ -16,7 +16,10 @@
   Time started{0};
 };
 
+// Starts the drain; repeated requests are only acknowledged.
 void OnDrainAsked(Context& context, const DrainAsked& asked);
+// Offers journals and workers to members, and stops the process when the drain
+// is complete.
 void OnDrainTimer(Context& context);
 
 }  // namespace burdockrock
--- a/Source/scheduler/dump.h
+++ b/Source/scheduler/dump.h
@@ -1,4 +1,4 @@
-// The state of a process for operators.
+// Exports the state of a process for operators and metrics.
 #ifndef BURDOCKROCK_SCHEDULER_DUMP_H_
 #define BURDOCKROCK_SCHEDULER_DUMP_H_
 
@@ -11,10 +11,11 @@
 
 namespace burdockrock {
 
-// All that the process knows, as one JSON object. `now` gives ages.
+// Returns the state of the process as one JSON object. Ages are relative to
+// `now`.
 Json::Value DumpState(const State& state, Time now);
 
-// What the metrics are read from.
+// The values that the metrics are computed from.
 struct StateFigures {
   std::uint32_t owned = 0;
   std::array<std::size_t, kUrgencyCount> waiting_requests{};
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -13,6 +13,7 @@
 
 constexpr std::uint32_t kMaxBackoffShift = 5;
 
+// How many tasks of a gang a peer has room for.
 struct PeerShare {
   std::string peer;
   std::int64_t places = 0;
@@ -22,7 +23,7 @@
   return job.queued == job.tasks.size();
 }
 
-// Places at peers of the domain, by their digests.
+// Returns the peers of the domain with room by their digests, largest first.
 std::vector<PeerShare> PeerShares(Context& context, const Resources& need) {
   std::vector<PeerShare> shares;
   for (const auto& [id, peer] : context.state().membership.peers) {
@@ -89,8 +90,8 @@
          task.state == TaskState::kMayHaveRun;
 }
 
-// Tasks of a gang that has lost a member after another one had finished can't
-// be run together again.
+// Fails a gang that lost a task after another had ended: its tasks can't run
+// together again.
 void FailGang(Context& context, Job& job) {
   job.judged_failed = true;
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
@@ -217,8 +218,9 @@
     job.gang_running = true;
     return;
   }
-  job.gang_running = true;  // so that the backoff stops what was found
-  BackOffGang(context, job, "found in part after the takeover");
+  job.gang_running =
+      true;  // makes BackOffGang stop the attempts that were found
+  BackOffGang(context, job, "not all tasks were found after adoption");
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/gangs.h
+++ b/Source/scheduler/gangs.h
@@ -1,9 +1,10 @@
 // Gangs: all tasks start, or none.
 //
-// A gang is assembled in two steps. Each task is first held: its worker takes
-// the room and waits. When all are held, all are told to go. Room is held for
-// gang.hold at most, then given back with a jittered backoff, so that two
-// gangs which each hold half of what both need can't wait for each other.
+// A gang is assembled in two phases. First each task is held: its worker
+// reserves the room and waits. When all tasks are held, the go is sent to all.
+// Room is held for gang.hold at most, then released, and the gang is retried
+// after a jittered backoff. This prevents the deadlock of two gangs that each
+// hold half of what both need.
 #ifndef BURDOCKROCK_SCHEDULER_GANGS_H_
 #define BURDOCKROCK_SCHEDULER_GANGS_H_
 
@@ -15,20 +16,22 @@
 
 class Context;
 
-// Tries to find room for all tasks at once. False when there is none now.
+// Tries to find room for all tasks at once. Returns false if there is none now.
 bool AssembleGang(Context& context, Job& job);
 
-// A task of the gang is held.
+// Called when a task of the gang is held; sends the go when all are.
 void OnGangTaskHeld(Context& context, Job& job);
 
-// A task of the gang was refused, failed or was lost: all others are stopped,
-// and the gang is tried again as a whole.
+// Called when a task of the gang was refused, failed or was lost. Stops all
+// others and retries the gang as a whole after a backoff; fails the gang if one
+// of its tasks has ended. `why` goes to the log.
 void BackOffGang(Context& context, Job& job, const std::string& why);
 
-// The attempts of an adopted gang have been looked for: it goes on if all run.
+// Called after the search for the attempts of an adopted gang. The gang
+// continues if all its tasks run or have ended; otherwise it backs off.
 void SettleGang(Context& context, Job& job);
 
-// The hold or the backoff ends.
+// Handles the end of the hold or of the backoff.
 void OnGangTimer(Context& context, const std::string& id);
 
 }  // namespace burdockrock
--- a/Source/scheduler/job_admission.cc
+++ b/Source/scheduler/job_admission.cc
@@ -39,8 +39,8 @@
   return std::nullopt;
 }
 
-// Work that fits no worker would wait for ever; it is refused with the
-// dimension that does not fit.
+// Refuses work that fits no worker, which would stay queued forever, and names
+// the dimension that does not fit.
 std::optional<NotRun> RefusalByFit(Context& context, const JobSpec& spec) {
   std::int64_t places = 0;
   Resources largest;
@@ -186,8 +186,8 @@
                 ClaimState::kReleased, "");
   }
   if (outcome == AppendOutcome::kUnknown) {
-    // The record may stand. Erasing it behind itself keeps the job from being
-    // run later by this journal's next writer, as far as that can be done.
+    // The record may have been written. The erase record, appended on a
+    // best-effort basis, keeps the journal's next writer from running the job.
     AppendTo(context, job->log,
              {.key = RecordOfJob(*job).key, .kind = kEraseKind}, {},
              std::nullopt);
--- a/Source/scheduler/job_admission.h
+++ b/Source/scheduler/job_admission.h
@@ -1,4 +1,5 @@
-// Takes jobs in: checks, the idempotency key, the record in the journal.
+// Admits jobs: checks them, claims the idempotency key and records them in the
+// journal.
 #ifndef BURDOCKROCK_SCHEDULER_JOB_ADMISSION_H_
 #define BURDOCKROCK_SCHEDULER_JOB_ADMISSION_H_
 
@@ -15,16 +16,17 @@
 
 void OnJobArrived(Context& context, const JobArrived& arrived);
 
-// The key of a non-idempotent job is recorded.
+// Called when the idempotency key of a job is recorded.
 void OnJobClaimed(Context& context, const std::string& id);
+// Answers the caller with the verdict and removes the job.
 void RefuseJob(Context& context, const std::string& id, const Verdict& verdict);
 
-// What the journal answered to the job's record.
+// Handles the outcome of appending the job's record.
 void OnJobRecorded(Context& context,
                    const std::string& id,
                    AppendOutcome outcome);
 
-// The time to be accepted, or the job's own deadline, is over.
+// Handles the timeout of the acceptance and the job's own deadline.
 void OnJobDeadline(Context& context, const std::string& id);
 
 }  // namespace burdockrock
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -166,7 +166,7 @@
 LogRecord RecordOfJob(const Job& job) {
   Json::Value value(Json::objectValue);
   if (job.finished) {
-    // Only its status is asked for from here on.
+    // Only the status of a finished job is needed.
     JobSpec spec = job.spec;
     spec.payload.clear();
     value["spec"] = JobSpecToJson(spec);
@@ -178,7 +178,8 @@
 }
 
 LogRecord RecordOfEnd(const Job& job, std::uint32_t task) {
-  // An array, as each quote of a member's name would be escaped twice.
+  // An array is shorter: the quotes of an object's member names would be
+  // escaped twice.
   Json::Value value(Json::arrayValue);
   value.append(NameOfEnd(job.tasks[task].end));
   value.append(job.tasks[task].answer);
--- a/Source/scheduler/job_records.h
+++ b/Source/scheduler/job_records.h
@@ -1,4 +1,4 @@
-// Jobs as journal records, and back.
+// Encodes jobs as journal records and decodes them.
 #ifndef BURDOCKROCK_SCHEDULER_JOB_RECORDS_H_
 #define BURDOCKROCK_SCHEDULER_JOB_RECORDS_H_
 
@@ -14,14 +14,14 @@
 
 class Context;
 
-// Makes the jobs of an adopted journal known. Tasks that have not ended are
-// orphaned: the former writer may have started any of them. Returns how many
-// jobs are unfinished.
+// Loads the jobs of an adopted journal. Tasks that have not ended become
+// orphaned: the former writer may have started any of them. Returns the number
+// of unfinished jobs.
 std::size_t LoadJobs(Context& context,
                      const std::string& log,
                      const std::map<std::string, LiveRecord>& records);
 
-// 0 when `text` is not a number.
+// Returns 0 if `text` is not a number.
 std::uint64_t ParseCount(const std::string& text);
 
 }  // namespace burdockrock
--- a/Source/scheduler/job_status.cc
+++ b/Source/scheduler/job_status.cc
@@ -127,7 +127,7 @@
     return;
   }
   if (job.cancelled) {
-    return;  // answered with the first cancel, when that is recorded
+    return;  // answered when the first cancel is recorded
   }
   job.cancelled = true;
   context.Log(EventNumber::kCancel, {{"job", job.id}});
@@ -154,7 +154,7 @@
                            "this entry instance dies first the job goes on"},
       job->cancel_recorded);
   if (!job->cancel_recorded) {
-    // Tried again until it is recorded; nobody waits for it.
+    // Appended again for durability; no caller waits for it.
     AppendTo(context, job->log, RecordOfCancel(*job), {}, std::nullopt);
   }
 }
--- a/Source/scheduler/job_status.h
+++ b/Source/scheduler/job_status.h
@@ -1,4 +1,4 @@
-// Status and cancellation of jobs.
+// Status queries and cancellation of jobs.
 #ifndef BURDOCKROCK_SCHEDULER_JOB_STATUS_H_
 #define BURDOCKROCK_SCHEDULER_JOB_STATUS_H_
 
@@ -14,20 +14,23 @@
 
 class Context;
 
+// Returns nothing when the job is unknown to this process.
 std::optional<WorkStatus> JobStatus(Context& context, const std::string& id);
 
-// Stops all tasks; answered when the journal holds the cancel.
+// Stops all tasks. The callers are answered when the cancel is recorded.
 void CancelJob(Context& context, Job& job);
 
-// Asked by a caller; passed to the journal's writer if that is another.
+// Handle a caller's status query or cancel, which is forwarded to the journal's
+// writer if that is another member, and one that a peer forwarded.
 void OnWorkAsked(Context& context, const WorkAsked& asked);
 void OnAskWork(Context& context, const std::string& from, const AskWork& ask);
 
-// Answers questions that the writer has not answered in time.
+// Answers the callers of forwarded queries that the writer did not answer in
+// time.
 void ExpireAsks(Context& context);
 void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer);
 
-// What the journal answered to the record of a cancel.
+// Handles the outcome of appending the record of a cancel.
 void OnCancelRecorded(Context& context,
                       const std::string& id,
                       AppendOutcome outcome);
--- a/Source/scheduler/jobs.cc
+++ b/Source/scheduler/jobs.cc
@@ -23,7 +23,6 @@
   context.state().jobs.team_usage[job.spec.team] += job.spec.resources;
 }
 
-// The room that the task counted for is returned to its team.
 void NoteReturned(Context& context, Job& job, std::uint32_t index) {
   if (IsOut(job.tasks[index])) {
     context.state().jobs.team_usage[job.spec.team] -= job.spec.resources;
--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -1,9 +1,9 @@
-// Durable work: services, batches and gangs, from acceptance to the end of the
+// Durable jobs (services, batches and gangs), from acceptance to the end of the
 // last task.
 //
-// The process that accepted a job writes its journal and decides on each of
-// its attempts. Owners of workers start attempts for it and tell it what
-// becomes of them.
+// The process that accepted a job writes its journal and decides on each of its
+// attempts. Owners of workers start attempts for it and report their progress
+// and end.
 #ifndef BURDOCKROCK_SCHEDULER_JOBS_H_
 #define BURDOCKROCK_SCHEDULER_JOBS_H_
 
@@ -29,11 +29,11 @@
 enum class TaskState : std::uint8_t {
   kQueued,
   kDispatching,  // non-idempotent: the dispatch is being recorded
-  kStarting,     // offered or sent to a worker, not answered
-  kHeld,         // of a gang: has its room, waits for the others
+  kStarting,     // offered or sent to a worker, no reply yet
+  kHeld,         // of a gang: room reserved, waits for the other tasks
   kRunning,
-  kStopping,  // told to stop; its end has not been reported
-  kOrphaned,  // its owner is gone; not known whether it runs
+  kStopping,  // stop sent; the end has not been reported
+  kOrphaned,  // its owner is lost; it may be running
   kEnding,    // ended; the end is being recorded
   kDone,
   kFailed,
@@ -43,15 +43,17 @@
 
 struct Task {
   TaskState state = TaskState::kQueued;
-  TaskState end = TaskState::kDone;  // what it becomes when kEnding is over
-  std::uint8_t tries = 0;
-  bool dispatched = false;  // of a non-idempotent job: it may have run
+  TaskState end = TaskState::kDone;  // the state after kEnding
+  std::uint8_t tries =
+      0;  // attempts but for those that never started; up to 255
+  bool dispatched =
+      false;  // of a non-idempotent job, recorded: it may have run
   std::uint64_t attempt = 0;
   std::uint64_t offer_sequence = 0;
-  Time offered{0};
-  std::string worker;  // where it is, when known
+  Time offered{0};     // when the last offer, stop or go was sent
+  std::string worker;  // that has the attempt; empty when unknown
   std::string owner;   // the member that owns the worker
-  std::string answer;  // of an ended task, cut at kMaxKeptAnswer
+  std::string answer;  // of an ended task, truncated to kMaxKeptAnswer
 };
 
 // Names: journal "jobs.DOMAIN.INSTANCE.INCARNATION-NUMBER", job
@@ -61,7 +63,7 @@
 
 inline constexpr std::size_t kMaxKeptAnswer = 1024;
 
-// How long a finished job's status can be asked for.
+// How long the status of a finished job is available.
 inline constexpr Duration kFinishedKept = std::chrono::minutes(10);
 
 struct Job {
@@ -69,18 +71,18 @@
   std::string log;
   JobSpec spec;
   std::vector<Task> tasks;
-  ReplyId reply = 0;                    // waits to hear "accepted"
-  std::vector<ReplyId> cancel_replies;  // wait for the cancel's record
-  std::string cancel_peer;              // a peer that asked for the cancel
+  ReplyId reply = 0;  // the caller that waits for acceptance; 0: none
+  std::vector<ReplyId> cancel_replies;  // waiters for the record of the cancel
+  std::string cancel_peer;              // the peer that forwarded a cancel
   std::uint64_t cancel_ask = 0;
   Time arrived{0};
   Time first_start{0};
   bool recorded = false;  // the journal holds it
   bool cancelled = false;
   bool cancel_recorded = false;
-  bool bad = false;  // judged by its failures
+  bool bad = false;  // failed on too many workers (health.bad_job_workers)
   bool finished = false;
-  bool judged_failed = false;
+  bool judged_failed = false;  // a gang that can't run together again
   std::uint64_t accept_ticket = 0;
   std::uint64_t claim_ticket = 0;
   std::uint32_t next_queued = 0;  // no task below it is queued
@@ -89,10 +91,10 @@
   std::uint32_t open = 0;           // tasks that have not ended
   std::set<std::string> failed_on;  // workers; at most a few
   // Of a gang.
-  bool gang_running = false;  // all were held and told to go
-  bool went = false;          // some task may have been told to go, ever
-  bool settling = false;      // adopted, and its attempts are looked for
-  Time hold_until{0};         // while it is being assembled
+  bool gang_running = false;  // all were held and the go was sent
+  bool went = false;          // a go may have been sent to some task
+  bool settling = false;      // adopted; its attempts are being searched for
+  Time hold_until{0};  // end of the hold while it is being assembled; or 0
   Time retry_at{0};
   std::uint32_t backoffs = 0;
 };
@@ -100,14 +102,15 @@
 // A journal that this process writes.
 struct Journal {
   std::string name;
-  std::uint64_t generation = 1;
+  std::uint64_t generation = 1;  // rises with each writer and search
   std::uint64_t next_job = 1;
   std::uint64_t next_attempt = 1;
   bool adopted = false;  // from another process
   bool ready = false;    // open for writing
 };
 
-// A caller's question that was passed to the writer of a job's journal.
+// A caller's status query or cancel, forwarded to the writer of the job's
+// journal.
 struct OpenAsk {
   ReplyId reply = 0;
   std::string id;
@@ -121,47 +124,52 @@
   std::set<std::string> adopting;
   std::string own_journal;  // that new jobs go to; empty until the first
   std::uint32_t own_journals = 0;
-  // Journals that a live process made and does not list, and since when.
+  // Journals that a live process created but does not list in its digest, and
+  // since when.
   std::map<std::string, Time> unlisted;
   std::map<std::string, Resources> team_usage;
   std::int64_t waiting = 0;  // tasks queued, of all jobs
-  // Journals' generations below which offers are refused.
+  // By journal: offers of a lower generation are refused.
   std::map<std::string, std::uint64_t> fences;
-  // Attempts whose worker was taken from this process while they ran; value:
-  // when to forget. An offer that is repeated must not start them again.
+  // Attempts that ran on a worker when this process lost it, with the expiry
+  // of the entry. A repeated offer must not start them again.
   std::map<AttemptId, Time> moved;
-  // Stops that came before their offers; value: when to forget.
+  // Attempts whose stop arrived before their offer, with the expiry of the
+  // entry.
   std::map<AttemptId, Time> stopped_early;
   std::uint64_t next_ask = 1;
   std::map<std::uint64_t, OpenAsk> asks;
 };
 
 Job* FindJob(Context& context, const std::string& id);
+// Returns null when the attempt names no known job and task.
 Job* JobOfAttempt(Context& context, const AttemptId& attempt, Task** task);
 
-// The journal that a job of this id is in; empty when `id` is not a job's.
+// Returns the name of the journal that holds the job; empty when `id` is not a
+// job's id.
 std::string LogOfJob(const std::string& id);
 
-// Puts a task back among the waiting ones.
+// Requeues a task that did not run; the try is not counted.
 void RequeueTask(Context& context, Job& job, std::uint32_t task);
 
-// Forgets the job; callers that wait for it are told that it may have run.
+// Removes the job; its pending callers get the verdict that it may have run.
 void DropJob(Context& context, const std::string& id);
 
-// A finished job's status is kept no longer.
+// Removes a finished job and its records after its retention.
 void OnForgetJobTimer(Context& context, const std::string& id);
 void OnRetryTaskTimer(Context& context, const std::string& id);
 
-// A task that is out: it holds or may hold room somewhere.
+// Whether an attempt of the task holds or may hold room on a worker.
 bool IsOut(const Task& task);
 
-// The task left the waiting ones and counts against its team.
+// Takes a task from the queue for an attempt and counts its resources against
+// its team.
 void NoteDispatched(Context& context, Job& job, std::uint32_t task);
 
-// The room that the task counted for is returned to its team.
+// Returns the resources of an outstanding attempt to the team's usage.
 void NoteReturned(Context& context, Job& job, std::uint32_t task);
 
-// Ends the job if its last task has ended.
+// Finishes the job if its last task has ended.
 void FinishIfDone(Context& context, Job& job);
 
 }  // namespace burdockrock
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -24,10 +24,11 @@
 constexpr Duration kUnlistedPatience = std::chrono::seconds(3);
 constexpr Duration kScanRetry = std::chrono::seconds(2);
 constexpr Duration kEmptyJournalCheck = std::chrono::seconds(30);
-// Between two adopters' generations; a writer itself raises its generation by
-// one with each attempt search.
+// Distance between the generations of two adopters; a writer increments its own
+// generation with each attempt search.
 constexpr std::uint64_t kGenerationStep = std::uint64_t{1} << 20U;
-// Attempt numbers of a later generation are higher than all of an earlier one.
+// Makes the attempt numbers of a generation higher than those of all earlier
+// ones.
 constexpr std::uint64_t kAttemptsShift = 30;
 
 SlotLogOptions JournalOptions(Context& context, const std::string& name) {
@@ -43,7 +44,7 @@
   };
 }
 
-// The adopted journal is this process's now: its jobs go on.
+// Loads the jobs of an adopted journal, once its new generation is durable.
 void BeginAdopted(Context& context, const std::string& name) {
   State& state = context.state();
   Journal& journal = state.jobs.journals.at(name);
@@ -96,8 +97,8 @@
   journal.adopted = true;
   journal.generation = before + kGenerationStep;
   journal.next_attempt = journal.generation << kAttemptsShift;
-  // Durable before the first use: a third process that adopts the journal
-  // after this one must come to a higher generation.
+  // The generation must be durable before its first use: a process that adopts
+  // the journal after this one must get a higher generation.
   AppendTo(context, name, RecordOfGeneration(journal), {.urgent = true},
            GenerationAppend{.log = name});
 }
@@ -114,8 +115,8 @@
   }
 }
 
-// The process that made the journal, "INSTANCE" and "INCARNATION"; the name
-// ends "INCARNATION-NUMBER".
+// The process that created a journal, from the journal's name, which ends in
+// "INSTANCE.INCARNATION-NUMBER".
 struct JournalMaker {
   std::string instance;
   std::string incarnation;
@@ -141,8 +142,8 @@
     state.jobs.unlisted.erase(name);
     return true;
   }
-  // The maker lists its journal in its digest, unless it was made just now or
-  // another process has taken it over and died since.
+  // The creator lists its journal in its digest, unless it has just created the
+  // journal, or another process adopted it and was lost since.
   const JournalMaker maker = MakerOf(name, state.self.domain);
   const auto it = state.membership.peers.find(maker.instance);
   const bool maker_lives = it != state.membership.peers.end() &&
@@ -203,7 +204,7 @@
   if (!jobs.own_journal.empty()) {
     return jobs.journals.at(jobs.own_journal);
   }
-  // A name is used once: a journal that was taken over is another's.
+  // A name is never reused: an adopted journal belongs to its adopter.
   jobs.own_journal = JournalName(
       state.self.domain, state.self.instance,
       state.self.incarnation + "-" + std::to_string(++jobs.own_journals));
--- a/Source/scheduler/journal.h
+++ b/Source/scheduler/journal.h
@@ -1,4 +1,4 @@
-// The journals of accepted jobs, and the taking over of a dead process's.
+// The journals of accepted jobs, and the adoption of a lost process's journals.
 #ifndef BURDOCKROCK_SCHEDULER_JOURNAL_H_
 #define BURDOCKROCK_SCHEDULER_JOURNAL_H_
 
@@ -17,6 +17,7 @@
 
 class Context;
 
+// What an append is for; decides who handles its outcome.
 struct JobAppend {
   std::string job;
 };
@@ -53,7 +54,7 @@
                                    GenerationAppend,
                                    CheckAppend>;
 
-// A log of the platform as this process uses it.
+// An open log on the platform, with its pending appends.
 struct OpenLog {
   std::unique_ptr<SlotLog> log;
   std::unordered_map<Ticket, AppendPurpose> tickets;
@@ -63,20 +64,21 @@
 // By name.
 using OpenLogs = std::map<std::string, OpenLog>;
 
-// Carries out what a step of a log asks for. The name is copied: a step may
-// end the job that it was taken from.
+// Sends the platform calls of a step of a log and handles its outcomes. The
+// name is passed by value: the step may remove the job that holds it.
 void RunLedger(Context& context, std::string name, LedgerProgress progress);
 
 void OnLedgerTimer(Context& context, const std::string& name);
 
-// Appends, for an answer to `purpose`; 0 when nothing waits for it.
+// Appends a record; the outcome goes to the handler of `purpose`, if given.
+// Returns 0 if the log is not open.
 Ticket AppendTo(Context& context,
                 const std::string& name,
                 LogRecord record,
                 const AppendOptions& options,
                 std::optional<AppendPurpose> purpose);
 
-// This process's own journal, made at the first use.
+// Returns this process's own journal, which is created at the first use.
 Journal& OwnJournal(Context& context);
 
 // Journal records of a job.
@@ -87,21 +89,24 @@
 
 LogRecord RecordOfGeneration(const Journal& journal);
 
-// Makes a log known and returns it; the caller opens it.
+// Adds a log and returns it; the caller has to open or create it.
 OpenLog& AddLog(Context& context, SlotLogOptions options);
 
-// Drops a finished job from its journal.
+// Erases the records of a finished job from its journal.
 void EraseJobRecords(Context& context, const Job& job);
 
-// Takes over the journal of a process that died or hands it over.
+// Adopts the journal of a process that was lost or that hands it over.
 void AdoptJournal(Context& context, const std::string& name);
+// Scan the platform for journals without a live writer and adopt those that
+// this process is chosen for.
 void OnOrphanScanTimer(Context& context);
 void OnOrphanScan(Context& context, const PlatformResult& result);
 
-// Another process writes the journal now: its jobs are forgotten here.
+// Removes a journal that another process writes or that was purged, with its
+// jobs.
 void ForgetJournal(Context& context, const std::string& name);
 
-// The purge of closed journals and the forgetting of finished jobs.
+// Closes empty journals and purges closed ones.
 void OnJournalTimer(Context& context, const std::string& name);
 
 // Journal names: "jobs.DOMAIN.INSTANCE.INCARNATION-NUMBER".
--- a/Source/scheduler/journal_check.cc
+++ b/Source/scheduler/journal_check.cc
@@ -46,7 +46,8 @@
 void OnJournalChecked(Context& context, const CheckAppend& check) {
   auto& workers = context.state().ownership.workers;
   const auto it = workers.find(check.worker);
-  // A worker that was lost and claimed again meanwhile waits for the later one.
+  // A worker that was lost and claimed again waits for the check of the later
+  // claim.
   if (it != workers.end() && it->second.checked_epoch == check.epoch) {
     EndCheck(context, it->second, check.log);
   }
--- a/Source/scheduler/journal_check.h
+++ b/Source/scheduler/journal_check.h
@@ -1,13 +1,13 @@
-// Shows, after a worker was claimed, that this process still writes its
+// Verifies, after a worker was claimed, that this process still writes its
 // journals.
 //
-// Peers that can't hear this process take its workers and then its journals.
-// It does not hear of the second: without anything to write it is not fenced.
-// It shows as a task that runs in two places, once for the new writer and once
-// on a worker that the old one claimed back. So a claimed worker starts
-// nothing until a record that was appended after the claim is committed to
-// each journal with open jobs. A journal that is taken over later does no
-// harm: its new writer first takes the worker away.
+// Peers that receive nothing from this process claim its workers and then adopt
+// its journals. The process notices the adoption only when an append is fenced,
+// which doesn't happen while it has nothing to write. A task could then run in
+// two places: for the new writer, and on a worker that the old writer claimed
+// back. Therefore a claimed worker starts nothing until a record appended after
+// the claim is committed to each journal with unfinished jobs. A journal that
+// is adopted later is harmless: its new writer first claims the worker.
 #ifndef BURDOCKROCK_SCHEDULER_JOURNAL_CHECK_H_
 #define BURDOCKROCK_SCHEDULER_JOURNAL_CHECK_H_
 
@@ -22,17 +22,17 @@
 class Context;
 struct WorkerRecord;
 
-// The worker was claimed just now: appends to the journals.
+// Appends to the journals for a worker that has just been claimed.
 void CheckJournals(Context& context, WorkerRecord& worker);
 
-// The answer to such an append.
+// Handles the commit of such an append.
 void OnJournalChecked(Context& context, const CheckAppend& check);
 
-// The journal is no longer this process's: nothing waits for it.
+// Ends the checks that wait for a journal that this process no longer writes.
 void ForgetChecks(Context& context, const std::string& log);
 
-// A peer writes these journals: those of them that this process writes under a
-// lower generation were taken from it.
+// Handles the list of journals that a peer writes: this process gives up those
+// that it writes under a lower generation, since the peer has adopted them.
 void YieldJournals(Context& context,
                    const std::string& peer,
                    const std::vector<LedLog>& logs);
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -1,5 +1,5 @@
-// The messages between the writer of a job's journal and the owners of the
-// workers that its tasks run on.
+// Exchanges messages between the writer of a job's journal and the owners of
+// the workers that run its tasks.
 #include <algorithm>
 #include <utility>
 
@@ -17,9 +17,10 @@
 constexpr Duration kEndRepeat = std::chrono::seconds(1);
 constexpr Duration kStoppedEarlyKept = std::chrono::seconds(60);
 constexpr Duration kMovedKept = std::chrono::minutes(10);
-// The reason of a refusal that says: it may run, but not under this owner.
+// Reason of a refusal: the attempt may be running, but under another owner.
 constexpr char kMoved[] = "moved";
-// It is not here, and an offer that is still on its way will be refused.
+// Reason of a refusal: the attempt is not here, and an offer of it that is
+// still in transit will be refused.
 constexpr char kStopped[] = "stopped";
 
 AttemptReport ReportOf(const Booking& booking) {
@@ -44,7 +45,7 @@
       TaskRefused{.sequence = sequence, .attempt = attempt, .reason = why});
 }
 
-// Why an offer must not be taken; empty when it may be.
+// Returns the reason to refuse an offer; empty when it may be accepted.
 std::string OfferProblem(Context& context, const TaskOffer& offer) {
   State& state = context.state();
   const auto fence = state.jobs.fences.find(LogOfJob(offer.attempt.job));
@@ -72,7 +73,7 @@
   }
 }
 
-// Stops and goes are repeated until the attempt's news shows their effect.
+// Repeats stops and goes until an update of the attempt shows their effect.
 void RepeatStops(Context& context, Job& job) {
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     const Task& task = job.tasks[it];
@@ -149,9 +150,9 @@
                  const TaskOffer& offer) {
   State& state = context.state();
   Peer& peer = state.membership.peers.at(from);
-  // A doubled or overtaken offer is dropped without an answer: the attempt may
-  // have started and ended since, and would start again. An offer that was
-  // really lost is repeated under a new sequence.
+  // A duplicate or reordered offer is dropped without a reply: its attempt may
+  // have started and ended meanwhile, and would start again. An offer that was
+  // lost is repeated under a new sequence number.
   if (offer.to_incarnation != state.self.incarnation ||
       offer.sequence <= peer.accepted_sequence) {
     return;
@@ -210,8 +211,8 @@
     OnAttemptNotStarted(context, refused.attempt, refused.reason);
     return;
   }
-  // Only the answer to the last offer counts: an earlier one may have been
-  // refused and a later one taken.
+  // Only the reply to the latest offer counts: an earlier offer may have been
+  // refused and a later one accepted.
   const bool is_current =
       job != nullptr && task->attempt == refused.attempt.number &&
       task->owner == from && task->offer_sequence == refused.sequence &&
@@ -253,8 +254,8 @@
   const Booking booking = worker.bookings.at(attempt);
   EraseBooking(context, worker, attempt);
   if (why == "no_room") {
-    // The worker has less room than the books say: what it runs is asked for
-    // before anything more is given to it.
+    // The worker has less free capacity than its bookings imply. It gets no
+    // more starts until it has reported what it runs.
     worker.suspect = true;
     UpdateOpen(context, worker);
     RenewNow(context, worker);
@@ -271,7 +272,7 @@
                    const AttemptReport& report) {
   const auto it = worker.bookings.find(report.attempt);
   if (it != worker.bookings.end() && it->second.state == AttemptState::kEnded) {
-    return;  // told already; repeated until acknowledged
+    return;  // reported already; repeated until acknowledged
   }
   if (it == worker.bookings.end()) {
     AddBooking(context, worker,
@@ -321,7 +322,7 @@
     }
     return;
   }
-  // Without a known writer the end is told again later.
+  // Without a known writer, OnOffersTimer reports the end again later.
   if (!writer.empty()) {
     context.Send(writer, TaskUpdate{.report = report, .worker = id});
   }
@@ -387,7 +388,7 @@
     Refuse(context, from, 0, attempt, kMoved);
     return;
   }
-  // The offer may still be on its way.
+  // The offer may still be in transit.
   jobs.stopped_early[attempt] = context.now() + kStoppedEarlyKept;
   Refuse(context, from, 0, attempt, kStopped);
 }
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-// Bounds of one pass, so that no event keeps the process busy for long. What
-// is left is placed in the next pass, which follows at once.
+// Limits of one pass, which keep the step short. A pass that reaches the limit
+// of starts is followed by another at once.
 constexpr std::size_t kMaxStartsPerPass = 256;
 constexpr std::size_t kMaxBlockedPerPass = 64;
 
@@ -25,15 +25,18 @@
   auto operator<=>(const PassTeam&) const = default;
 };
 
+// The state of one placement pass.
 struct Pass {
   std::size_t starts = 0;
   std::size_t blocked = 0;
-  // Sizes that were found not to fit: neither does anything larger.
+  // Sizes that fit nowhere; anything larger doesn't fit either.
   std::vector<Resources> misfits;
   std::array<std::set<PassTeam>, kUrgencyCount> teams;
+  // The next job to try, by class and team.
   std::array<std::map<std::string, std::size_t>, kUrgencyCount> cursors;
 };
 
+// The team's dominant share of the capacity, divided by its weight.
 double UsageOf(const Context& context, const std::string& team) {
   const State& state = context.state();
   const auto usage = state.jobs.team_usage.find(team);
@@ -55,9 +58,9 @@
   return share / std::max(weight, 0.001);
 }
 
-// A team's quota is split evenly over the live entry instances, without
-// asking anyone at each start. A share is never less than one task, so that a
-// small quota does not keep a team from running at all.
+// A team's quota is split evenly over the live entry instances, so that a start
+// needs no message to another member. A share is at least one task; otherwise a
+// small quota would keep the team from running anything.
 bool WithinQuota(Context& context, const Job& job) {
   const auto policy = context.policy().teams.find(job.spec.team);
   if (policy == context.policy().teams.end()) {
@@ -155,7 +158,8 @@
   return Tried::kBlocked;
 }
 
-// Tries the jobs of a class until one task is started. False when none can.
+// Tries the jobs of a class until one task is started. Returns false if none
+// can be.
 bool PlaceOne(Context& context, Pass& pass, std::size_t which) {
   State& state = context.state();
   auto& teams = pass.teams[which];
@@ -198,8 +202,9 @@
   }
 }
 
-// Urgent work first, but a share of the starts is offered to the classes below
-// before it, so that they are delayed and not starved.
+// Places urgent work first, except that a share of the starts (urgency's
+// batch_share) goes to the lower classes first, which prevents their
+// starvation.
 bool PlaceNext(Context& context, Pass& pass) {
   TaskQueue& queue = context.state().tasks;
   const double share = context.policy().urgency.batch_share;
--- a/Source/scheduler/tasks.h
+++ b/Source/scheduler/tasks.h
@@ -1,5 +1,5 @@
-// Places waiting tasks: on this process's own workers, or by offer on those of
-// a peer in the same failure domain.
+// Places queued tasks: on workers that this process owns or, by an offer, on
+// workers of a peer in the same failure domain.
 #ifndef BURDOCKROCK_SCHEDULER_TASKS_H_
 #define BURDOCKROCK_SCHEDULER_TASKS_H_
 
@@ -21,43 +21,48 @@
 struct WorkerRecord;
 struct Booking;
 
-// The jobs that have waiting tasks, by urgency and team, each team's in order
-// of arrival.
+// Jobs with queued tasks, by urgency and team; each team's in order of arrival.
 struct TaskQueue {
   using Teams = std::map<std::string, std::deque<std::string>>;
   std::array<Teams, kUrgencyCount> classes;
+  // Number of times that each class came up; decides when lower classes go
+  // first.
   std::array<std::uint64_t, kUrgencyCount> picks{};
-  bool wanted = false;  // a pass is to be made at the end of this step
+  bool wanted = false;  // run a placement pass at the end of this step
 };
 
-// A job has waiting tasks.
+// Adds the job to the queue, unless it is there, and requests a placement pass.
 void QueueJob(Context& context, Job& job);
 
-// Records the dispatch of a non-idempotent task before it leaves: after a
-// crash the next writer must know that the task may have run.
+// Records the dispatch of a non-idempotent task before it is sent to a worker:
+// after a crash, the next writer of the journal must know that the task may
+// have run.
 void RecordDispatch(Context& context, Job& job, std::uint32_t task);
 
-// One pass over the waiting jobs.
+// Runs one placement pass over the queued jobs.
 void PlaceTasks(Context& context);
 
-// Starts an attempt on an owned worker. False when it has no room.
+// The parameters of a start on an owned worker.
 struct StartTask {
   AttemptId attempt;
   Resources resources;
   std::string payload;
-  bool hold = false;
-  std::string offered_by;
+  bool hold = false;       // reserve the room, run at the go
+  std::string offered_by;  // the offering peer; empty for own jobs
   std::uint64_t offer_sequence = 0;
 };
+// Books the attempt and sends the start command. Returns false if the worker
+// has no room.
 bool StartOnWorker(Context& context,
                    WorkerRecord& worker,
                    const StartTask& start);
 
-// The worker was taken from this process while the attempt was there. Its
-// journal's writer is told to look for it.
+// Called when this process loses a worker that has the attempt. Makes the
+// writer of the job's journal search for the attempt.
 void OnAttemptMoved(Context& context, const Booking& booking);
 
-// The worker's answers, passed to the journal's writer.
+// Handle the worker's reply to a start command and report it to the journal's
+// writer.
 void OnStartDone(Context& context,
                  WorkerRecord& worker,
                  const AttemptId& attempt);
@@ -66,12 +71,13 @@
                     const AttemptId& attempt,
                     const std::string& why);
 
-// The worker says that an attempt ended, or no longer has it.
+// Handles a worker's report that an attempt ended or is unknown to it.
 void OnEndReported(Context& context,
                    WorkerRecord& worker,
                    const AttemptReport& report);
 
-// Tells the journal's writer of a running or ended attempt.
+// Reports a running or ended attempt to the journal's writer. Without a known
+// writer, an end is reported again later.
 void TellWriter(Context& context, const WorkerRecord& worker, Booking& booking);
 
 void OnTaskOffer(Context& context,
@@ -89,32 +95,35 @@
                 const std::string& from,
                 const AttemptId& attempt);
 
-// Stops an attempt wherever it is.
+// Stops an attempt, on an owned worker or through the owner of its worker.
 void StopAttempt(Context& context, Job& job, std::uint32_t task);
+// Lets a held attempt run.
 void GoAttempt(Context& context, Job& job, std::uint32_t task);
 
-// Repeats offers and ends that were not answered.
+// Repeats offers, stops, goes and reports of ends that were not answered, and
+// drops expired entries.
 void OnOffersTimer(Context& context);
 
-// The attempt's end is recorded: its worker may forget it.
+// Acknowledges an end that the journal has recorded, so that the worker may
+// forget it. `owner` is the member that owns the worker; empty: this process.
 void AcknowledgeEnd(Context& context,
                     const AttemptId& attempt,
                     const std::string& owner);
 
-// The member that writes the journal; empty when none is known.
+// Returns the member that writes the journal; empty when none is known.
 std::string WriterOf(const Context& context, const std::string& log);
 
-// Looks for the worker that holds the attempt.
+// Returns the owned worker that has the attempt; null when there is none.
 WorkerRecord* FindBooking(Context& context, const AttemptId& attempt);
 
-// Sends an offer of a task to a peer; used again to repeat it.
+// Offers a task to a peer; also repeats an offer, under a new sequence number.
 void OfferTask(Context& context,
                Job& job,
                std::uint32_t task,
                const std::string& peer,
                bool hold);
 
-// A peer with room for the task; empty when none is known.
+// Returns a peer with room for the task; empty when none is known.
 std::string ChoosePeerForTask(Context& context, const Resources& need);
 
 }  // namespace burdockrock
