--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -21,13 +21,12 @@
   Policy policy;
   ConfigView view;
   bool loaded = false;
-  Revision seen =
-      0;  // the latest, also of a document that could not be applied
+  // The latest revision, also of a document that could not be applied.
+  Revision seen = 0;
   bool awaited = false;  // the absence of a policy has been logged
   bool watching = false;
   bool watching_instances = false;
-  bool read_instances =
-      false;  // the platform has sent the list since the start
+  bool read_instances = false;  // from the platform, since the start
   Duration backoff{0};
   Time retry_at{0};
 };
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -218,8 +218,7 @@
     job.gang_running = true;
     return;
   }
-  job.gang_running =
-      true;  // makes BackOffGang stop the attempts that were found
+  job.gang_running = true;  // makes BackOffGang stop the attempts found
   BackOffGang(context, job, "not all tasks were found after adoption");
 }
 
--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -44,10 +44,10 @@
 struct Task {
   TaskState state = TaskState::kQueued;
   TaskState end = TaskState::kDone;  // the state after kEnding
-  std::uint8_t tries =
-      0;  // attempts but for those that never started; up to 255
-  bool dispatched =
-      false;  // of a non-idempotent job, recorded: it may have run
+  // Attempts, except those that never started; at most 255.
+  std::uint8_t tries = 0;
+  // Whether the dispatch is recorded; only for non-idempotent jobs.
+  bool dispatched = false;
   std::uint64_t attempt = 0;
   std::uint64_t offer_sequence = 0;
   Time offered{0};     // when the last offer, stop or go was sent
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -1,4 +1,4 @@
-// The configuration while entry instances, links and the platform fail.
+// The configuration under failures of entry instances, links and the platform.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -34,7 +34,7 @@
                         kWriteLimit);
 }
 
-// The revision that a change was stored with; 0 when it was not.
+// Returns the revision under which a change was stored; 0 if it was not.
 Revision StoredAs(const EntryGroup& group, ReplyId reply) {
   const CallerAnswer* answer = group.AnswerTo(reply);
   const auto* stored =
@@ -42,7 +42,7 @@
   return stored == nullptr ? 0 : stored->revision;
 }
 
-std::string WinnerTold(const EntryGroup& group, ReplyId reply) {
+std::string ReportedWinner(const EntryGroup& group, ReplyId reply) {
   const CallerAnswer* answer = group.AnswerTo(reply);
   const auto* conflict =
       answer == nullptr ? nullptr : std::get_if<ConfigConflict>(answer);
@@ -68,12 +68,11 @@
 
 }  // namespace
 
-// Symptom: an accepted configuration is in force at some entries only.
-// Sequence: an operator's change is accepted by one entry; in the same moment
-// any one of the entries dies, be it the one that answered or one that watches
-// the platform for its domain.
-// Cause: only some of the entries watch the platform.
-TEST_CASE("a configuration is in force in time, whichever entry dies") {
+// Guards against an accepted configuration that takes effect at some entries
+// only. One entry accepts an operator's change; at the same moment any one of
+// the entries is killed, including the one that answered and those that watch
+// the platform for their domain. Only some of the entries watch the platform.
+TEST_CASE("A configuration takes effect in time, whichever entry is killed") {
   for (int victim = 0; victim < 5; ++victim) {
     CAPTURE(victim);
     EntryGroup group({.entries = {3, 2}, .workers = 1});
@@ -89,11 +88,10 @@
   }
 }
 
-// Symptom: an accepted configuration never reaches the other domains.
-// Sequence: the platform goes down in the moment in which it has answered the
-// write, so that no watch hears of it.
-// Cause: the entries must tell each other.
-TEST_CASE("a configuration is in force though the platform is down") {
+// Guards against an accepted configuration that never reaches the other
+// domains. The platform goes down as soon as it has answered the write, so that
+// no watch returns it. The entries must send it to each other.
+TEST_CASE("A configuration takes effect while the platform is down") {
   EntryGroup group({.entries = {2, 2}, .workers = 1});
   REQUIRE(Settle(group));
   const Revision before = RevisionAt(group, "d0-e0");
@@ -108,12 +106,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: an entry goes back to an older configuration.
-// Sequence: a cut-off domain misses two changes and is healed; afterwards
-// copies of both older documents arrive late and twice, also from a member
-// that itself still had them.
-// Cause: a message says nothing of when it was sent.
-TEST_CASE("a healed domain takes the newest configuration and keeps it") {
+// Guards against an entry that returns to an older configuration. A cut-off
+// domain misses two changes and is reconnected; afterwards copies of both older
+// documents arrive late and twice, one of them from a member that still had
+// them. A message doesn't say when it was sent.
+TEST_CASE("A reconnected domain applies and keeps the newest configuration") {
   EntryGroup group({.entries = {2, 2}, .workers = 1});
   REQUIRE(Settle(group));
   std::vector<ConfigView> older = {group.state("d1-e0").config.view};
@@ -145,11 +142,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: an operator's change is overwritten by another's without a word.
-// Sequence: three operators change the same revision through three entries in
-// the same moment; the platform loses none, one or two of the answers.
-// Cause: each of them has read the same document.
-TEST_CASE("of racing operators one wins and the others hear whose it is") {
+// Guards against silently overwriting another operator's change. Three
+// operators change the same revision through three entries at the same moment,
+// each having read the same document; the platform loses none, one or two of
+// the answers.
+TEST_CASE("Of concurrent changes one wins and the others get its author") {
   const std::vector<std::string> names = {"ann", "ben", "cleo"};
   const std::vector<std::string> at = {"d0-e0", "d0-e1", "d1-e0"};
   for (std::uint32_t lost = 0; lost <= 2; ++lost) {
@@ -177,19 +174,19 @@
     }
     REQUIRE(winner != "");
     for (std::size_t it = 0; it < names.size(); ++it) {
-      CHECK((names[it] == winner || WinnerTold(group, replies[it]) == winner));
+      CHECK((names[it] == winner ||
+             ReportedWinner(group, replies[it]) == winner));
     }
     CHECK(RunUntilInForce(group, stored));
     CHECK(group.Violations() == "");
   }
 }
 
-// Symptom: two sides of a partition run different configurations for good, or
-// an operator waits without an answer.
-// Sequence: a domain is cut off; operators on both sides change the same
-// revision; the partition heals and the cut-off operator tries again.
-// Cause: the cut-off side can't know of the other change.
-TEST_CASE("operators that race during a partition end with one document") {
+// Guards against two sides of a partition that keep different configurations,
+// and against an operator who gets no answer. Operators on both sides of a
+// cut-off domain change the same revision; the partition heals and the operator
+// on the cut-off side, which can't know of the other change, tries again.
+TEST_CASE("Concurrent changes during a partition converge to one document") {
   EntryGroup group({.entries = {2, 2}, .workers = 1});
   REQUIRE(Settle(group));
   const Revision before = RevisionAt(group, "d0-e0");
@@ -211,17 +208,16 @@
   group.Run(seconds(6));
   const ReplyId again = group.PutConfig("d1-e0", before, Document("ben", 1900));
   REQUIRE(RunUntilAnswered(group, again));
-  CHECK(WinnerTold(group, again) == "ann");
+  CHECK(ReportedWinner(group, again) == "ann");
   CHECK(IsInForce(group, group.entries(), stored));
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a replaced entry serves by an older configuration than the one that
-// was in force before.
-// Sequence: the platform is down; an entry is replaced; the first that it hears
-// is a late copy of an older document.
-// Cause: with empty memory any document looks new.
-TEST_CASE("a replaced entry serves by the newest configuration only") {
+// Guards against a replaced entry that serves with an older configuration than
+// was in force before. The platform is down, and the first message that the new
+// process receives is a late copy of an older document. With empty memory, any
+// document looks new.
+TEST_CASE("A replaced entry serves with the newest configuration only") {
   EntryGroup group({.entries = {2, 1}, .workers = 1});
   REQUIRE(Settle(group));
   const ConfigView older = group.state("d0-e0").config.view;
@@ -252,11 +248,11 @@
   CHECK(served_by == std::set<Revision>{stored});
 }
 
-// Symptom: an entry without a policy calls the platform and writes the same
-// log line several times a second.
-// Sequence: entries start where no policy has been stored; later one is.
-// Cause: an empty answer counted as success and reset the wait between tries.
-TEST_CASE("entries without a policy wait for one with few calls") {
+// Guards against entries without a policy that call the platform and write the
+// same log line several times a second. The entries start before any policy is
+// stored; one is stored later. An empty answer counted as a success and reset
+// the backoff.
+TEST_CASE("Entries without a policy wait for one with few platform calls") {
   EntryGroup group({.entries = {2}, .workers = 1});
   REQUIRE(Settle(group));
   const std::string document = group.state("d0-e0").config.view.document;
@@ -279,10 +275,10 @@
   CHECK(RunUntilInForce(group, StoredAs(group, reply)));
 }
 
-// Symptom: the operators lower the rate of journal writes and nothing changes.
-// Sequence: a policy with another rate is accepted.
-// Cause: the budget was made once, from the rate that is built in.
-TEST_CASE("the rate of journal writes follows the policy") {
+// Guards against a changed rate of journal writes that has no effect. A policy
+// with another rate is accepted; the budget was created once, with the default
+// rate.
+TEST_CASE("The rate of journal writes follows the policy") {
   EntryGroup group({.entries = {1},
                     .workers = 1,
                     .policy = R"({"journal": {"writes_per_second": 2}})"});
--- a/Tests/scheduler/entry_failure_test.cc
+++ b/Tests/scheduler/entry_failure_test.cc
@@ -1,4 +1,4 @@
-// Entry instances that die, pause or are cut off while they have work.
+// Entry instances that are killed, paused or cut off while they have work.
 #include <doctest/doctest.h>
 
 #include "scheduler/entry_group.h"
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-// Symptom: an accepted batch is never finished, or parts of it run twice.
-// Sequence: an entry accepts a batch, starts tasks on its own and its peers'
-// workers, and is killed. Its peers claim its workers and adopt its journal.
-// Cause: the dead process alone knew which tasks were out and where.
-TEST_CASE("a killed entry's batch is finished by a peer, each task once") {
+// Guards against an accepted batch that is never finished or partly runs twice.
+// An entry accepts a batch, starts tasks on its own workers and its peers', and
+// is killed. Its peers claim its workers and adopt its journal; only the killed
+// process knew which attempts were outstanding and where.
+TEST_CASE("A peer finishes a killed entry's batch and runs each task once") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -38,12 +38,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a task runs in two places.
-// Sequence: an entry pauses past its peers' patience; they claim its workers,
-// adopt its journal and go on with its jobs. It wakes with all its old state
-// and acts on it.
-// Cause: a paused process can't know that it was replaced.
-TEST_CASE("a paused entry that wakes doubles nothing") {
+// Guards against running a task in two places. An entry pauses for longer than
+// its peers' timeout; they claim its workers, adopt its journal and continue
+// its jobs. It resumes with its old state and acts on it, as a paused process
+// can't know that it was replaced.
+TEST_CASE("A paused entry that resumes runs nothing twice") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -56,12 +55,12 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: two entries take the same worker from each other without end, or
-// both start work on it.
-// Sequence: two members of a domain lose sight of each other, while both reach
-// the workers, the third member and the platform; later they meet again.
-// Cause: each sees the other as dead and itself as the owner of all.
-TEST_CASE("members that can't hear each other share the workers safely") {
+// Guards against two entries that claim the same worker from each other
+// endlessly or both start work on it. Two members of a domain are cut off from
+// each other, while both reach the workers, the third member and the platform;
+// the link is restored later. Each considers the other lost and itself the
+// owner of all workers.
+TEST_CASE("Members that are cut off from each other share the workers safely") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string first =
@@ -78,11 +77,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a domain that is cut off stops serving, or its tasks run twice.
-// Sequence: a domain loses all other domains and the platform for a minute
-// while a batch runs in it and requests go on arriving.
-// Cause: nothing in the domain may depend on the outside to go on.
-TEST_CASE("a cut-off domain goes on serving what it can") {
+// Guards against a cut-off domain that stops serving or runs tasks twice. A
+// domain loses all other domains and the platform for a minute while a batch
+// runs and requests arrive. Nothing in the domain may depend on the outside to
+// continue.
+TEST_CASE("A cut-off domain keeps serving what it can") {
   EntryGroup group({.entries = {2, 2}, .workers = 4, .minions = 2});
   REQUIRE(Settle(group));
   const std::string job =
@@ -104,11 +103,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: after a restart with empty memory the instance's old tasks are
-// lost or run twice.
-// Sequence: the only entry of a domain dies and a new process takes its place.
-// Cause: there is no peer to adopt the journal; the new process has to.
-TEST_CASE("a replaced entry recovers its own accepted work") {
+// Guards against tasks that are lost or run twice after a restart with empty
+// memory. The only entry of a domain is killed and a new process replaces it.
+// Without a peer, the new process has to adopt the journal.
+TEST_CASE("A replaced entry recovers its own accepted work") {
   EntryGroup group({.entries = {1}, .workers = 3});
   REQUIRE(Settle(group));
   const std::string job =
@@ -122,12 +120,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: accepted work is lost, or a dead entry's tasks are stopped though
-// they could go on.
-// Sequence: the platform goes down, then an entry with a running batch dies;
-// nobody can adopt its journal until the platform is back a minute later.
-// Cause: adoption needs the platform; the tasks themselves don't.
-TEST_CASE("an entry that dies while the platform is down loses nothing") {
+// Guards against losing accepted work, or stopping a lost entry's tasks that
+// could continue. The platform goes down, then an entry with a running batch is
+// killed; no member can adopt its journal until the platform is available again
+// a minute later. Adoption needs the platform, the running tasks don't.
+TEST_CASE("An entry that is killed while the platform is down loses nothing") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -143,11 +140,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a caller is told "accepted" and the job is gone.
-// Sequence: the write that records a job takes effect, its answer is lost, and
-// the writer pauses before it can read back; a peer adopts its journal.
-// Cause: the writer must not answer by what it believed before the pause.
-TEST_CASE("a lost answer while its writer is paused doubles nothing") {
+// Guards against answering "accepted" for a job that is lost. The write that
+// records a job takes effect, its answer is lost, and the writer pauses before
+// it can read back; a peer adopts its journal. The writer must not answer from
+// its state before the pause.
+TEST_CASE("A lost answer during a pause of the writer runs nothing twice") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   AcceptedJob(group, "d0-e0", SmallJob(JobKind::kBatch, 2));
@@ -160,15 +157,15 @@
   group.Run(seconds(60));
   CHECK(group.AnswerTo(reply) != nullptr);
   CHECK(group.Violations() == "");
-  // Either nobody ran it, or all of it ran once.
+  // Either no task of the job ran, or each ran once.
   const std::uint64_t ran = group.recorder().executions() - 2;
   CHECK((ran == 0 || ran == 20));
 }
 
-// Symptom: a planned stop cuts off a request or loses a job.
-// Sequence: an entry with running requests and a batch is drained.
-// Cause: what it runs and what it owns has to end or change hands first.
-TEST_CASE("a planned stop cuts nothing off") {
+// Guards against a planned stop that interrupts a request or loses a job. An
+// entry with running requests and a batch is drained. What it runs has to end,
+// and what it owns has to be handed over, before it exits.
+TEST_CASE("A planned stop interrupts no request and loses no job") {
   EntryGroup group({.entries = {3}, .workers = 6, .minions = 3});
   REQUIRE(Settle(group));
   const std::string job =
@@ -190,11 +187,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a caller that asks for a job's status gets no answer at all.
-// Sequence: the entry that writes the job's journal dies; before its peers
-// notice, one of them passes a question on to it.
-// Cause: the question was kept without an end.
-TEST_CASE("a question for a writer that died is answered soon") {
+// Guards against status queries that are never answered. The writer of the
+// job's journal stops responding; before its peers notice, one of them forwards
+// a query to it. The forwarded query was kept without a deadline.
+TEST_CASE("A query for a lost writer is answered soon") {
   EntryGroup group({.entries = {2}, .workers = 2});
   REQUIRE(Settle(group));
   const std::string job =
--- a/Tests/scheduler/entry_group.cc
+++ b/Tests/scheduler/entry_group.cc
@@ -160,7 +160,7 @@
     }
     RunOne();
   }
-  throw std::runtime_error("the run does not come to an end");
+  throw std::runtime_error("the simulation exceeded its limit of events");
 }
 
 void EntryGroup::RunOne() {
@@ -196,7 +196,7 @@
   Revision& seen = config_seen_[entry.id];
   const Revision revision = entry.state->config.view.revision;
   if (revision < seen) {
-    broken_.push_back(entry.id + " went back to an older configuration");
+    broken_.push_back(entry.id + " returned to an older configuration");
   }
   seen = revision;
   if (entry.up) {
@@ -218,7 +218,7 @@
       again.timer_at = kForever;
       Deliver(id, incarnation, TimerFired{});
       if (again.up && again.faults.paused) {
-        again.timer_at = Time(0);  // fires once more on Resume
+        again.timer_at = Time(0);  // Resume fires the timer again
       }
     }
   });
@@ -227,7 +227,7 @@
 void EntryGroup::Carry(Entry& entry, const Effect& effect) {
   if (const auto* answer = std::get_if<AnswerCaller>(&effect)) {
     if (!answers_.emplace(answer->reply, answer->answer).second) {
-      broken_.push_back("a caller was answered twice");
+      broken_.push_back("a caller got two answers");
     }
     answered_at_.emplace(answer->reply, now_);
   } else if (const auto* platform = std::get_if<CallPlatform>(&effect)) {
@@ -443,13 +443,13 @@
         std::to_string(first.at.count()));
   }
   if (recorder_.repeated_unique() > 0) {
-    lines.push_back("work that may run once ran again: " +
+    lines.push_back("non-idempotent work ran more than once: " +
                     std::to_string(recorder_.repeated_unique()));
   }
   for (const auto& [id, machine] : machines_) {
     const standin::WorkerModel& model = *machine.model;
     if (!Fits(model.taken(), model.options().capacity)) {
-      lines.push_back(id + " was given more than it has");
+      lines.push_back(id + " is overcommitted");
     }
   }
   return fmt::format("{}", fmt::join(lines, "; "));
--- a/Tests/scheduler/entry_group.h
+++ b/Tests/scheduler/entry_group.h
@@ -1,6 +1,6 @@
-// A few entry instances' reducers with fakes at their edges, in one process
-// and in virtual time. No sockets, no threads, no clock: the same seed gives
-// the same run.
+// Simulates a few entry instances in one process and in virtual time: their
+// reducers run against fakes of the platform, workers and links. There are no
+// sockets, threads or real clocks: the same seed gives the same run.
 #ifndef BURDOCKROCK_TESTS_SCHEDULER_ENTRY_GROUP_H_
 #define BURDOCKROCK_TESTS_SCHEDULER_ENTRY_GROUP_H_
 
@@ -27,7 +27,7 @@
 namespace burdockrock {
 
 struct EntryGroupOptions {
-  // One failure domain for each member, with so many entry instances.
+  // The number of entry instances in each failure domain.
   std::vector<std::uint32_t> entries = {3};
   std::uint32_t workers = 6;  // in each domain
   std::uint32_t minions = 0;  // in each domain, of the service "desk"
@@ -40,38 +40,39 @@
   Duration worker_delay = std::chrono::microseconds(200);
   Duration platform_delay = std::chrono::milliseconds(2);
   Duration list_lag = std::chrono::seconds(1);
-  // Each peer message is lost, doubled or held back with these chances.
+  // Probabilities that a peer message is lost, duplicated or delayed.
   double lose = 0;
   double repeat = 0;
   double hold_back = 0;
-  // Members that replace or add to the base policy, as JSON text.
+  // A JSON merge patch that is applied to the base policy.
   std::string policy = "{}";
 };
 
-// What a process under test is subject to.
+// The faults that a process under test is subject to.
 struct EntryFaults {
   bool paused = false;
   bool cut_from_platform = false;
-  std::set<std::string> cut_peers;    // both ways
-  std::set<std::string> cut_workers;  // commands and answers
+  std::set<std::string> cut_peers;    // in both directions
+  std::set<std::string> cut_workers;  // commands and replies
 };
 
+// The simulated entry instances and their environment.
 class EntryGroup {
  public:
   explicit EntryGroup(EntryGroupOptions options);
   EntryGroup(const EntryGroup&) = delete;
   EntryGroup& operator=(const EntryGroup&) = delete;
 
-  // Carries out everything due until `span` from now.
+  // Runs all events that are due within `span` from now.
   void Run(Duration span);
 
-  // Runs until `done` says so, checked after each event. False when `limit`
-  // has passed first.
+  // Runs until `done` returns true, which is checked before each event. Returns
+  // the last value of `done` when `limit` has passed.
   bool RunUntil(const std::function<bool()>& done, Duration limit);
 
   Time now() const { return now_; }
 
-  // "d0-e0": entry 0 of domain 0; "d0-w3" and "d0-m2" likewise.
+  // Ids: "d0-e0" is entry 0 of domain 0; "d0-w3" is a worker, "d0-m2" a minion.
   std::vector<std::string> entries() const;
   State& state(const std::string& entry);
   EntryFaults& faults(const std::string& entry);
@@ -81,49 +82,53 @@
   const EntryGroupOptions& options() const { return options_; }
 
   void Kill(const std::string& entry);
-  // A new process of the same instance, with empty memory.
+  // Starts a new process of the same instance, with empty memory.
   void Restart(const std::string& entry);
   bool IsUp(const std::string& entry) const;
   void Pause(const std::string& entry);
   void Resume(const std::string& entry);
   void CutPeers(const std::string& left, const std::string& right, bool cut);
-  // Cuts a whole domain's entries from all other domains' and the platform.
+  // Cuts all entries of a domain off from other domains and the platform, or
+  // reconnects them.
   void CutDomain(std::uint32_t domain, bool cut);
-  // The worker's machine is gone: connections are refused, tasks are lost.
+  // Stops the worker's machine: connections are refused and its tasks are lost.
   void KillWorker(const std::string& id);
-  // The platform's list drops the instance, after its lag, and nothing else.
+  // Removes the instance from the platform's list, after the list's lag,
+  // without any other change.
   void DropFromList(const std::string& id);
-  // The platform's list will say, after its lag, that the instance leaves.
+  // Marks the instance as leaving in the platform's list, after the list's lag.
   void MarkLeaving(const std::string& id);
 
   ReplyId Submit(const std::string& entry, Request request);
   ReplyId Submit(const std::string& entry, JobSpec spec);
+  // Queries the status of a job or cancels it.
   ReplyId Ask(const std::string& entry, const std::string& id, bool cancel);
   ReplyId PutConfig(const std::string& entry,
                     Revision expect,
                     const std::string& document);
   void Drain(const std::string& entry);
-  // An event besides those that the fakes give: a doubled or late message.
+  // Delivers an event that the fakes don't create, such as a duplicate or late
+  // message.
   void Inject(const std::string& entry, EventBody body);
 
   const CallerAnswer* AnswerTo(ReplyId reply) const;
-  // The answer as a verdict of work; nothing while there is none.
+  // Returns the verdict of an answer; nothing while there is no answer.
   std::optional<Verdict> VerdictOf(ReplyId reply) const;
   std::string JobIdOf(ReplyId reply) const;
   std::optional<Time> AnsweredAt(ReplyId reply) const;
-  // The status of a job by whichever live entry knows it.
+  // Returns the status of a job from any live entry that knows it.
   std::optional<WorkStatus> StatusOf(const std::string& job);
 
-  // Every entry serves and every worker and minion is owned.
+  // Whether every entry serves and every worker and minion is owned.
   bool IsSettled();
-  // What must never be, in words; empty when all holds.
+  // Describes the violated invariants; empty when all hold.
   std::string Violations();
 
   std::uint64_t peer_messages() const { return peer_messages_; }
   std::uint64_t peer_messages_of_kind(std::size_t index) const;
   const std::vector<Duration>& waits() const { return waits_; }
   std::vector<LogLine> LinesOf(EventNumber number) const;
-  // Sees each effect as it is carried out.
+  // If set, called with each effect before it is applied.
   std::function<void(const std::string& entry, const Effect&)> on_effect;
 
   static std::string PolicyDocumentText(const std::string& policy,
@@ -137,9 +142,11 @@
     bool up = false;
     std::unique_ptr<State> state;
     EntryFaults faults;
-    std::deque<EventBody> held;  // while paused
+    std::deque<EventBody> held;  // received while paused
     Time timer_at = kForever;
   };
+  // An action of the simulation; actions of the same time run in order of
+  // `sequence`.
   struct Occasion {
     Time at{0};
     std::uint64_t sequence = 0;
@@ -148,6 +155,7 @@
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
+  // A watch of the platform that waits for a change.
   struct HeldWatch {
     std::string entry;
     std::uint64_t incarnation = 0;
@@ -155,6 +163,7 @@
     PlatformOperation operation;
     Time until{0};
   };
+  // A lease renewal (long poll) that waits at a worker.
   struct HeldRenew {
     std::string entry;
     std::uint64_t incarnation = 0;
@@ -165,7 +174,7 @@
   struct Machine {
     std::unique_ptr<standin::WorkerModel> model;
     bool killed = false;
-    Time poke_at = kForever;  // when the model is looked at again
+    Time poke_at = kForever;  // when the model is advanced next
     std::list<HeldRenew> renews;
   };
 
--- a/Tests/scheduler/entry_group_edges.cc
+++ b/Tests/scheduler/entry_group_edges.cc
@@ -1,5 +1,5 @@
-// What the entry group does with the calls and messages of its reducers: it
-// hands them to the fakes, with delays and faults, and brings the answers back.
+// The links of the entry group: passes calls and messages of the reducers to
+// the fakes, with delays and faults, and delivers the replies.
 #include <algorithm>
 #include <utility>
 
@@ -80,8 +80,8 @@
   }
   const Time next = platform_.NextEventTime();
   if (next != kForever && next > now_) {
-    // Those that watch hear of it when it shows, and not only when something
-    // else calls the platform.
+    // Answers the watches as soon as the change is visible, not only at the
+    // next call of the platform.
     After(next - now_, [this] { PokePlatform(); });
   }
 }
@@ -181,9 +181,9 @@
     it = machine.renews.erase(it);
   }
   const Time next = model.NextEventTime();
-  // One look ahead for each machine. With one for each command, every look
-  // would plan the next, and a busy machine's would grow with all commands
-  // that it ever got.
+  // At most one future advance is scheduled for each machine. With one for each
+  // command, each of them would schedule the next, and their number would grow
+  // with every command that the machine ever got.
   const bool is_planned = machine.poke_at > now_ && machine.poke_at <= next;
   if (next != kForever && next > now_ && !is_planned) {
     machine.poke_at = next;
--- a/Tests/scheduler/job_failure_test.cc
+++ b/Tests/scheduler/job_failure_test.cc
@@ -1,4 +1,5 @@
-// Accepted jobs while entries die, the platform fails and others compete.
+// Accepted jobs under failures of entries and the platform, and under
+// contention.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -32,11 +33,11 @@
 
 }  // namespace
 
-// Symptom: tasks that had ended run again after their entry dies.
-// Sequence: the tasks end while the platform is down, so that their ends are
-// not recorded; then the writer of their journal is killed.
-// Cause: the workers forgot ends that were nowhere else.
-TEST_CASE("ends that could not be recorded outlive their entry") {
+// Guards against running ended tasks again. The tasks end while the platform is
+// down, so their ends can't be recorded, and then the writer of their journal
+// is killed. The workers must keep each end until it is recorded, since it is
+// stored nowhere else.
+TEST_CASE("Ends that could not be recorded survive the loss of their entry") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -53,12 +54,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a caller that was refused finds its job running, or one that was
-// told "accepted" finds nothing.
-// Sequence: the platform is slow, and loses answers after the writes while
-// jobs are accepted and end.
-// Cause: a lost answer is neither a success nor a failure.
-TEST_CASE("a slow platform that loses answers loses and doubles nothing") {
+// Guards against running a job whose caller was refused, and against losing one
+// whose caller got "accepted". The platform is slow and loses answers after the
+// writes while jobs are accepted and end. A lost answer means neither success
+// nor failure.
+TEST_CASE("No job is lost or run twice if a slow platform loses answers") {
   EntryGroup group(
       {.entries = {3}, .workers = 6, .platform_delay = milliseconds(600)});
   REQUIRE(Settle(group));
@@ -87,12 +87,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a job is lost or doubled when two of its writers die in a row.
-// Sequence: an entry dies; the one that takes its journal over starts what
-// still waits, and dies too.
-// Cause: the second adopter doesn't know what the first one started, and
-// counts its attempts from the same number.
-TEST_CASE("a job outlives its entry and the adopter after it") {
+// Guards against losing a job, or running its tasks twice, when two of its
+// writers are killed in a row. The first adopter of the journal starts queued
+// tasks and is killed too. The second adopter doesn't know which attempts the
+// first one started, and must not reuse their attempt numbers.
+TEST_CASE("A job survives the loss of its entry and then of its adopter") {
   EntryGroup group({.entries = {4}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -109,11 +108,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: two entries go on with the same job.
-// Sequence: two members can't hear each other when the third one dies; each
-// is the only candidate in its own view and takes the journal over.
-// Cause: who adopts is decided by views that differ.
-TEST_CASE("two adopters of one journal don't both run its job") {
+// Guards against two entries running the same job. Two members are cut off from
+// each other when the third one is killed; the views from which the adopter is
+// chosen differ, so each sees itself as the only candidate and adopts the
+// journal.
+TEST_CASE("Two adopters of one journal don't both run its job") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -131,13 +130,13 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a task runs in two places.
-// Sequence: an entry with waiting tasks is cut off from its peers, but neither
-// from the workers nor from the platform. They claim its workers and adopt its
-// journal; it claims workers back and goes on with what waits in its memory.
-// Cause: it has nothing to write, and so does not hear that it was replaced.
-TEST_CASE("a writer whose peers can't hear it does not go on beside them") {
-  // When workers change hands depends on the seed.
+// Guards against running a task in two places. An entry with queued tasks is
+// cut off from its peers, but not from the workers or the platform. The peers
+// claim its workers and adopt its journal; it claims workers back and would
+// start the tasks queued in its memory. As it has nothing to append, no fenced
+// append shows it that it was replaced.
+TEST_CASE("A writer that is cut off from its peers runs no task twice") {
+  // The seed decides when workers change owners.
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     CAPTURE(seed);
     EntryGroup group({.entries = {3}, .workers = 6, .seed = seed});
@@ -160,11 +159,10 @@
   }
 }
 
-// Symptom: a gang that starts as its domain is cut off runs in part, or never.
-// Sequence: the domain loses the platform and all other domains between the
-// gang's acceptance and its start.
-// Cause: a start may depend on nothing outside the domain.
-TEST_CASE("a gang starts whole while its domain is cut off") {
+// Guards against gangs that run in part or never. Between the acceptance and
+// the start of a gang, the domain loses the platform and all other domains. A
+// start must not depend on anything outside the domain.
+TEST_CASE("A gang starts as a whole while its domain is cut off") {
   EntryGroup group({.entries = {2, 2}, .workers = 4});
   REQUIRE(Settle(group));
   const std::string job =
@@ -180,11 +178,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a gang runs in part, or keeps room that it never uses.
-// Sequence: its writer loses the members that hold some of its tasks, between
-// the offers and the answers; they meet again half a minute later.
-// Cause: held tasks wait for a word that can't come.
-TEST_CASE("a gang whose members are cut off during its start is not halved") {
+// Guards against a gang that runs in part or keeps room that it never uses.
+// Between the offers and the replies, the writer is cut off from the members
+// that hold some of the tasks; the links are restored half a minute later. Held
+// tasks would wait for a message that can't arrive.
+TEST_CASE("A gang whose members are cut off as it starts does not run partly") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   const std::string job =
@@ -200,12 +198,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: cancelled tasks run, or run on, after a wave of cancels.
-// Sequence: 4,000 tasks are cancelled, some before they start, some as their
-// starts are on their way, some while they run, and an entry drains meanwhile.
-// Peer messages overtake each other.
-// Cause: a stop that comes before its start stops nothing.
-TEST_CASE("a wave of cancels during a drain leaves nothing running") {
+// Guards against cancelled tasks that start or keep running. 4,000 tasks are
+// cancelled, some before they start, some while their start is in transit and
+// some while they run; an entry drains meanwhile and peer messages are
+// reordered. A stop that arrives before its start stops nothing.
+TEST_CASE("Many cancels during a drain leave nothing running") {
   EntryGroup group({.entries = {3}, .workers = 6, .hold_back = 0.3});
   REQUIRE(Settle(group));
   std::vector<std::string> jobs;
@@ -237,7 +234,7 @@
     }
     group.Run(milliseconds(5));
   }
-  // A caller that was not told "cancelled" asks again.
+  // A caller whose cancel was not confirmed repeats it.
   for (int round = 0; round < 15 && !cancels.empty(); ++round) {
     group.Run(seconds(2));
     std::erase_if(cancels, [&](const auto& it) {
@@ -264,11 +261,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: two gangs wait for each other for ever, each with half its room.
-// Sequence: two gangs that fit alone, and not together, are assembled by two
-// entries at the same moment.
-// Cause: each holds what the other needs.
-TEST_CASE("two gangs that compete both run, each whole") {
+// Guards against a deadlock of two gangs that each hold half of the room they
+// need. Two entries assemble at the same moment two gangs that fit one at a
+// time but not together.
+TEST_CASE("Two competing gangs both run, each as a whole") {
   EntryGroup group({.entries = {2}, .workers = 6});
   REQUIRE(Settle(group));
   const ReplyId one = group.Submit("d0-e0", JobOf(JobKind::kGang, 40, 2'000));
@@ -284,11 +280,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a task that may run once runs twice.
-// Sequence: the writer of a non-idempotent batch is killed in the middle of it
-// together with a worker that runs some of its tasks.
-// Cause: nobody can tell whether the tasks on the dead worker had run.
-TEST_CASE("a batch that may not be repeated runs each task at most once") {
+// Guards against running a non-idempotent task twice. The writer of the batch
+// is killed while the batch runs, together with a worker that has some of its
+// tasks. Nothing can tell whether the tasks on the lost worker ran.
+TEST_CASE("A non-idempotent batch runs each task at most once") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   JobSpec spec = LongJob(JobKind::kBatch, 80);
@@ -308,10 +303,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: urgent work waits behind a flood of batch work.
-// Sequence: thousands of batch tasks wait on full workers; an urgent job comes.
-// Cause: in order of arrival it is the last.
-TEST_CASE("an urgent job passes a flood of batch work") {
+// Guards against urgent work that waits behind batch work. Thousands of batch
+// tasks are queued for full workers when an urgent job arrives, which is last
+// in order of arrival.
+TEST_CASE("An urgent job starts before a large backlog of batch tasks") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   for (int it = 0; it < 3; ++it) {
@@ -328,10 +323,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: batch work never runs while urgent work keeps coming.
-// Sequence: a flood of urgent tasks waits; a batch job comes after it.
-// Cause: strict priority.
-TEST_CASE("a batch job is not starved by a flood of urgent work") {
+// Guards against batch work that never runs while urgent work keeps arriving,
+// as under strict priority. A batch job arrives after a large number of urgent
+// tasks.
+TEST_CASE("A batch job is not starved by a large backlog of urgent tasks") {
   EntryGroup group({.entries = {1}, .workers = 2});
   REQUIRE(Settle(group));
   JobSpec flood = SmallJob(JobKind::kBatch, 4'000);
@@ -345,10 +340,10 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a team uses more than its quota.
-// Sequence: all entries start its tasks at the same moment.
-// Cause: each compares its own use alone with the whole quota.
-TEST_CASE("a team stays within its quota over all entries") {
+// Guards against a team that exceeds its quota. All entries start the team's
+// tasks at the same moment; each one would compare only its own usage with the
+// whole quota.
+TEST_CASE("A team stays within its quota over all entries") {
   EntryGroup group(
       {.entries = {3}, .workers = 6, .policy = R"({"teams": {"other": {"quota":
                         {"processors_milli": 12000}}}})"});
@@ -374,12 +369,12 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: tasks run twice after a restart, or the new process accepts what it
-// can't keep.
-// Sequence: the only entry of a domain dies while the platform is down, and a
-// new process starts with empty memory before the platform is back.
-// Cause: the new process knows nothing of what runs, nor where to ask.
-TEST_CASE("a process that starts while the platform is down doubles nothing") {
+// Guards against tasks that run twice after a restart, and against a new
+// process that accepts jobs which it can't store. The only entry of a domain is
+// killed while the platform is down, and a new process starts with empty memory
+// before the platform is available again. It knows neither what runs nor any
+// member to query.
+TEST_CASE("A process started while the platform is down runs nothing twice") {
   EntryGroup group({.entries = {1}, .workers = 3});
   REQUIRE(Settle(group));
   const std::string job =
@@ -401,12 +396,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a caller hears "cancelled" and the job goes on after a crash, or
-// one of two callers that cancel hears nothing.
-// Sequence: two callers cancel a job; the second asks before the first cancel
-// is recorded.
-// Cause: the second was answered at once, in place of the first.
-TEST_CASE("each of two cancels is answered when the cancel is recorded") {
+// Guards against confirming a cancel that is lost in a crash, and against
+// leaving one of two callers without an answer. The second of two callers
+// cancels a job before the cancel of the first is recorded. The second was
+// answered at once, in place of the first.
+TEST_CASE("Each of two cancels is answered when the cancel is recorded") {
   EntryGroup group({.entries = {1},
                     .workers = 2,
                     .platform_delay = std::chrono::milliseconds(200)});
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -1,5 +1,5 @@
-// Minions and workers that leave, entry instances that stop as planned, and
-// entry instances that start with empty memory.
+// Leaving minions and workers, planned stops of entry instances, and entry
+// instances that start with empty memory.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-// Symptom: a minion that is being taken away still gets requests.
-// Sequence: the list shows a minion as leaving, to one member of the domain
-// only, since the other is cut from the platform; an older list comes late, and
-// so does one from a part of the platform that has not heard of the leaving.
-// Cause: each member reads the list for itself, and lists overtake each other.
-TEST_CASE("a leaving minion gets no request two seconds after it shows") {
+// Guards against sending requests to a minion that is being removed. The list
+// shows the minion as leaving to only one member of the domain, as the other is
+// cut off from the platform. An older list arrives late, and so does one from a
+// part of the platform that doesn't know of the leaving yet. Each member reads
+// the list for itself, and lists are reordered.
+TEST_CASE("A minion gets no request 2 s after it is listed as leaving") {
   for (const bool is_cut : {false, true}) {
     CAPTURE(is_cut);
     EntryGroup group({.entries = {2}, .workers = 1, .minions = 4});
@@ -68,11 +68,10 @@
   }
 }
 
-// Symptom: the same for a worker and the tasks of a batch.
-// Sequence: a batch is under way when three of four workers begin to leave.
-// Cause: tasks are placed by the free room, which grows as a leaving worker
-// empties.
-TEST_CASE("a leaving worker gets no task two seconds after it shows") {
+// Guards against starting tasks on workers that are being removed. Three of
+// four workers begin to leave while a batch runs. Tasks are placed by free
+// room, which grows as a leaving worker empties.
+TEST_CASE("A worker gets no task 2 s after it is listed as leaving") {
   EntryGroup group({.entries = {2}, .workers = 4});
   REQUIRE(Settle(group));
   group.Submit("d0-e0", SmallJob(JobKind::kBatch, 1500));
@@ -96,12 +95,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: a planned stop leaves requests waiting to their deadline, or never
-// ends.
-// Sequence: the last entry is stopped while requests run and wait, with the
-// platform down; it is asked twice.
-// Cause: there is nobody to hand over to and nothing to record with.
-TEST_CASE("the last entry stops with the platform down and asked twice") {
+// Guards against a planned stop that leaves requests queued until their
+// deadline or never ends. The last entry is drained twice, with requests
+// running and queued and the platform down. It has no member to hand over to
+// and can't record anything.
+TEST_CASE("The last entry stops while the platform is down, if drained twice") {
   EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   Asked asked(group);
@@ -121,8 +119,9 @@
   CHECK(group.LinesOf(EventNumber::kDrainStarted).size() == 1);
 }
 
-// Guards against stops that wait, without work, for an owner of their workers.
-TEST_CASE("all entries of a domain stop at once when nothing runs there") {
+// Guards against idle entries whose stop waits for another owner of their
+// workers.
+TEST_CASE("All entries of a domain stop promptly when nothing runs there") {
   EntryGroup group({.entries = {2, 1}, .workers = 4});
   REQUIRE(Settle(group));
   group.Submit("d0-e1", SmallJob(JobKind::kBatch, 400));
@@ -135,9 +134,9 @@
       seconds(5)));
 }
 
-// Guards against accepted jobs that are said not to exist while their journal
-// goes from one writer to the next.
-TEST_CASE("a job is never unknown while its writer stops") {
+// Guards against reporting accepted jobs as unknown while their journal passes
+// from one writer to the next.
+TEST_CASE("A job is never unknown while its writer stops") {
   for (const bool cancel : {false, true}) {
     CAPTURE(cancel);
     EntryGroup group({.entries = {3}, .workers = 4});
@@ -166,8 +165,9 @@
   }
 }
 
-// Guards against stops that wait, with jobs, for an adopter of their journal.
-TEST_CASE("the last entry of a domain with waiting jobs stops in its grace") {
+// Guards against entries with jobs whose stop waits for an adopter of their
+// journal.
+TEST_CASE("The last entry of a domain with queued jobs stops in time") {
   EntryGroup group({.entries = {2, 1}, .workers = 4});
   REQUIRE(Settle(group));
   for (int it = 0; it < 10; ++it) {
@@ -182,8 +182,8 @@
       seconds(6)));
 }
 
-// Guards against stops that end tasks which could have run to their end.
-TEST_CASE("the last entry of a domain lets running tasks end") {
+// Guards against a planned stop that interrupts tasks which could finish.
+TEST_CASE("The last entry of a domain lets running tasks end") {
   EntryGroup group({.entries = {1, 1}, .workers = 4});
   REQUIRE(Settle(group));
   const ReplyId job = group.Submit("d0-e0", LongJob(JobKind::kBatch, 4));
@@ -198,11 +198,11 @@
   CHECK(group.VerdictOf(job) == Verdict(Accepted{}));
 }
 
-// Symptom: a request of an entry that is stopping waits to its deadline.
-// Sequence: requests wait while the entry is stopped; they are handed to a peer
-// that is full too and refuses them; others are having their key recorded.
-// Cause: they come back to a queue that is no longer served.
-TEST_CASE("a request that comes back to a stopping entry is refused at once") {
+// Guards against requests of a stopping entry that wait until their deadline.
+// Queued requests are forwarded to a full peer, which refuses them, while
+// others are having their key recorded. They would return to a queue that is no
+// longer served.
+TEST_CASE("A request returned to a stopping entry is refused at once") {
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 1});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
@@ -226,11 +226,10 @@
   asked.Check();
 }
 
-// Symptom: a planned stop loses a job or runs a cancelled one.
-// Sequence: a wave of cancellations goes through while the entry that has the
-// jobs is stopped.
-// Cause: the jobs change hands between their cancellation and its record.
-TEST_CASE("a planned stop during a wave of cancellations keeps both") {
+// Guards against a planned stop that loses a job or runs a cancelled one. Many
+// jobs are cancelled while the entry that has them is stopped, so that they
+// change writers between the cancel and its record.
+TEST_CASE("A planned stop during many cancels loses no job and no cancel") {
   EntryGroup group({.entries = {3}, .workers = 4});
   REQUIRE(Settle(group));
   std::vector<ReplyId> replies;
@@ -255,7 +254,7 @@
     const CallerAnswer* answer = group.AnswerTo(cancels[it]);
     REQUIRE(answer != nullptr);
     if (!std::holds_alternative<WorkStatus>(*answer)) {
-      continue;  // nothing was promised
+      continue;  // the cancel was not confirmed
     }
     const auto status = group.StatusOf(group.JobIdOf(replies[2 * it]));
     CHECK((!status || status->state == WorkState::kCancelled));
@@ -263,11 +262,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Symptom: an entry with empty memory leaves callers without an answer, or
-// starts work by a configuration that it does not know.
-// Sequence: all entries are replaced at once, with the platform up or down.
-// Cause: nobody remembers the configuration and the workers.
-TEST_CASE("entries with empty memory answer at once and serve when they can") {
+// Guards against entries with empty memory that leave callers without an answer
+// or start work under a configuration that they don't have. All entries are
+// replaced at once, with the platform up or down, so that none has the
+// configuration or knows the workers.
+TEST_CASE("Entries with empty memory answer at once and serve when they can") {
   for (const bool is_down : {false, true}) {
     CAPTURE(is_down);
     EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
@@ -295,10 +294,10 @@
   }
 }
 
-// Symptom: one entry with empty memory can't serve while the platform is down.
-// Sequence: the platform is down; one of two entries is replaced.
-// Cause: the configuration and the list of instances must come from its peer.
-TEST_CASE("a replaced entry serves by its peer's knowledge") {
+// Guards against an entry with empty memory that can't serve while the platform
+// is down. One of two entries is replaced; it must get the configuration and
+// the list of instances from its peer.
+TEST_CASE("A replaced entry serves with the configuration of its peer") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 4});
   REQUIRE(Settle(group));
   group.platform().faults().down = true;
--- a/Tests/scheduler/property_test.cc
+++ b/Tests/scheduler/property_test.cc
@@ -1,7 +1,8 @@
-// Random orders of events, with lost, doubled and late messages, pauses, kills,
-// cuts and outages, from fixed seeds. After each step: no worker is
-// overcommitted, no task is live in two places, nothing that may run once runs
-// twice, no configuration goes back. At the end nothing accepted is lost.
+// Random sequences of events from fixed seeds, with lost, duplicated and
+// delayed messages, pauses, kills, cut links and outages. After each step: no
+// worker is overcommitted, no task runs in two places, no non-idempotent work
+// runs twice, and no entry returns to an older configuration. At the end, all
+// accepted jobs have finished.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -46,8 +47,8 @@
       REQUIRE(group_.Violations() == "");
     }
     Heal();
-    RunToTheEnd();
-    CHECK(Unended() == "");
+    RunUntilJobsFinish();
+    CHECK(UnfinishedJobs() == "");
     if (std::getenv("BURDOCKROCK_TRACE") != nullptr) {
       for (const std::string& it : group_.entries()) {
         fmt::print("{}\n",
@@ -240,13 +241,13 @@
     }
   }
 
-  // The jobs that were accepted and have not ended.
-  std::string Unended() {
+  // Describes the accepted jobs that have not ended; empty when there are none.
+  std::string UnfinishedJobs() {
     std::string text;
     for (const ReplyId it : jobs_) {
       const auto verdict = group_.VerdictOf(it);
       if (!verdict || !std::holds_alternative<Accepted>(*verdict)) {
-        continue;  // nothing was promised
+        continue;  // not accepted
       }
       const std::string id = group_.JobIdOf(it);
       const auto status = group_.StatusOf(id);
@@ -261,8 +262,8 @@
     return text;
   }
 
-  void RunToTheEnd() {
-    for (int it = 0; it < 400 && !Unended().empty(); ++it) {
+  void RunUntilJobsFinish() {
+    for (int it = 0; it < 400 && !UnfinishedJobs().empty(); ++it) {
       group_.Run(seconds(1));
     }
   }
@@ -275,7 +276,9 @@
 
 }  // namespace
 
-TEST_CASE("the promises hold under random failures") {
+// Guards against failures of the guarantees above that only certain sequences
+// of faults cause. BURDOCKROCK_SEED runs a single seed.
+TEST_CASE("All guarantees hold under random failures") {
   const char* only = std::getenv("BURDOCKROCK_SEED");
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     if (only != nullptr && std::stoull(only) != seed) {
