--- a/Source/runtime/entry_instance.cc
+++ b/Source/runtime/entry_instance.cc
@@ -241,7 +241,7 @@
 }
 
 std::string EntryInstance::MetricsText() {
-  metrics_.SetFigures(FiguresOf(shell_.state()));
+  metrics_.SetFigures(CollectStateMetrics(shell_.state()));
   metrics_.SetTraffic("caller", callers_.traffic());
   metrics_.SetTraffic("worker", workers_.traffic());
   metrics_.SetTraffic("platform", platform_.traffic());
--- a/Source/runtime/process_metrics.cc
+++ b/Source/runtime/process_metrics.cc
@@ -36,7 +36,7 @@
       ->Observe(InSeconds(waited));
 }
 
-void ProcessMetrics::SetFigures(const StateFigures& figures) {
+void ProcessMetrics::SetFigures(const StateMetrics& figures) {
   metrics_.Set(kOwnedWorkers, {}, figures.owned);
   for (std::size_t it = 0; it < kUrgencyCount; ++it) {
     const char* name = UrgencyName(static_cast<Urgency>(it));
--- a/Source/runtime/process_metrics.h
+++ b/Source/runtime/process_metrics.h
@@ -23,7 +23,7 @@
   void Waited(Urgency urgency, Duration waited);
 
   // Totals and levels, set anew before each reading.
-  void SetFigures(const StateFigures& figures);
+  void SetFigures(const StateMetrics& figures);
   void SetTraffic(std::string_view edge, const EdgeTraffic& traffic);
   void SetPlatformCalls(std::uint64_t calls);
   void SetProcessUsage();
--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_news.cc
@@ -22,7 +22,7 @@
 // Tries the task again after a while.
 void RetryLater(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   task.state = TaskState::kQueued;
   task.worker.clear();
   task.owner.clear();
@@ -55,7 +55,7 @@
     RetryLater(context, job, index);
     return;
   }
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   EndTask(context, job, index, TaskState::kFailed);
 }
 
@@ -98,7 +98,8 @@
                       const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt > attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt > attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (held && task->state == TaskState::kRunning) {
@@ -109,7 +110,7 @@
   task->worker = worker;
   task->owner = owner;
   const bool is_stray = job->spec.kind == JobKind::kGang &&
-                        !job->gang_running && !job->settling &&
+                        !job->gang_running && !job->recovering &&
                         job->hold_until == Time(0);
   if (job->cancelled || is_stray || task->state == TaskState::kStopping) {
     task->state = TaskState::kRunning;
@@ -135,11 +136,12 @@
                          const std::string& why) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt != attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt != attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (job->cancelled) {
-    NoteReturned(context, *job, attempt.task);
+    CreditTeam(context, *job, attempt.task);
     task->state = TaskState::kCancelled;
     --job->open;
     FinishIfDone(context, *job);
@@ -157,8 +159,8 @@
                     const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, report.attempt, &task);
-  const bool is_current =
-      job != nullptr && IsOut(*task) && task->attempt <= report.attempt.number;
+  const bool is_current = job != nullptr && IsOutstanding(*task) &&
+                          task->attempt <= report.attempt.number;
   if (!is_current) {
     const bool is_ending = job != nullptr && task->state == TaskState::kEnding;
     if (!is_ending) {
@@ -177,15 +179,15 @@
         RetryLater(context, *job, index);
         break;
       }
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
-      NoteReturned(context, *job, index);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
+      CreditTeam(context, *job, index);
       EndTask(context, *job, index, TaskState::kDone);
-      if (is_gang && !job->gang_running && !job->settling) {
+      if (is_gang && !job->gang_running && !job->recovering) {
         BackOffGang(context, *job, "a member ended while others were stopped");
       }
       return;  // acknowledged when it is recorded
     case Outcome::kFailed:
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
       OnTaskFailed(context, *job, index, worker);
       if (task->state == TaskState::kEnding) {
         if (is_gang) {
@@ -195,7 +197,7 @@
       }
       break;
     case Outcome::kStopped:
-      NoteReturned(context, *job, index);
+      CreditTeam(context, *job, index);
       if (job->judged_failed) {
         EndTask(context, *job, index, TaskState::kFailed);
         return;
@@ -222,7 +224,7 @@
 
 void OrphanTask(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  if (!IsOut(task)) {
+  if (!IsOutstanding(task)) {
     return;
   }
   task.state = TaskState::kOrphaned;
@@ -241,14 +243,14 @@
 void OnAttemptLost(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   if (job.cancelled) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     task.state = TaskState::kCancelled;
     --job.open;
     FinishIfDone(context, job);
     return;
   }
   if (job.judged_failed) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kFailed);
     return;
   }
@@ -256,9 +258,9 @@
   // The tasks of a gang that was never told to go were held and did not run.
   const bool may_have_run = task.dispatched && (!is_gang || job.went);
   if (!job.spec.idempotent && may_have_run) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kMayHaveRun);
-    if (is_gang && !job.settling) {
+    if (is_gang && !job.recovering) {
       BackOffGang(context, job, "attempt lost");
     }
     return;
@@ -266,7 +268,7 @@
   context.Log(EventNumber::kAttemptRestarted,
               {{"job", job.id}, {"task", std::to_string(index)}});
   RetryLater(context, job, index);
-  if (is_gang && !job.settling) {
+  if (is_gang && !job.recovering) {
     BackOffGang(context, job, "attempt lost");
   }
 }
--- a/Source/scheduler/claims.cc
+++ b/Source/scheduler/claims.cc
@@ -77,7 +77,7 @@
          const auto claim = DecodeClaim(standing.body);
          return claim && claim->wall_ms + retention_ms > *wall_ms;
        }});
-  RunLedger(context, name, open.log->Open(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Open(context.now()));
   return state.logs.at(name);
 }
 
@@ -371,7 +371,7 @@
   for (const TicketOutcome& outcome : progress.finished) {
     may_stand = may_stand || outcome.outcome == AppendOutcome::kUnknown;
   }
-  RunLedger(context, name, std::move(progress));
+  ApplyLedgerProgress(context, name, std::move(progress));
   if (may_stand) {
     SettleClaim(context, team, key, id, ClaimState::kReleased, "");
   }
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -141,7 +141,7 @@
   }
 }
 
-void OnConfigAsked(Context& context, const ConfigAsked& asked) {
+void OnConfigRequested(Context& context, const ConfigAsked& asked) {
   const ConfigState& config = context.state().config;
   if (!config.loaded) {
     context.Answer(
@@ -262,8 +262,8 @@
     // Nothing has been stored yet. Taken for a success this would start the
     // wait between tries anew each time, and each process would ask several
     // times a second for as long as there is no policy.
-    if (!config.awaited) {
-      config.awaited = true;
+    if (!config.absence_logged) {
+      config.absence_logged = true;
       context.Log(EventNumber::kConfigurationAwaited, {});
     }
     RetryWatch(context);
--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -21,8 +21,8 @@
   Policy policy;
   ConfigView view;
   bool loaded = false;
-  Revision seen = 0;     // also of a document that could not be applied
-  bool awaited = false;  // that there is no policy yet has been logged
+  Revision seen = 0;            // also of a document that could not be applied
+  bool absence_logged = false;  // that there is no policy yet has been logged
   bool watching = false;
   bool watching_instances = false;
   bool read_instances = false;  // the platform has answered since the start
@@ -33,7 +33,7 @@
 // Applies a document if it is newer than the one in force.
 void ApplyConfig(Context& context, const ConfigView& view);
 
-void OnConfigAsked(Context& context, const ConfigAsked& asked);
+void OnConfigRequested(Context& context, const ConfigAsked& asked);
 void OnConfigProposed(Context& context, const ConfigProposed& proposed);
 void OnConfigWritten(Context& context,
                      const ConfigWritePurpose& purpose,
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-void OnDrainAsked(Context& context, const DrainAsked& asked) {
+void OnDrainRequested(Context& context, const DrainAsked& asked) {
   State& state = context.state();
   context.Answer(asked.reply, DrainStarted{});
   if (state.drain.draining) {
--- a/Source/scheduler/drain.h
+++ b/Source/scheduler/drain.h
@@ -16,7 +16,7 @@
   Time started{0};
 };
 
-void OnDrainAsked(Context& context, const DrainAsked& asked);
+void OnDrainRequested(Context& context, const DrainAsked& asked);
 void OnDrainTimer(Context& context);
 
 }  // namespace burdockrock
--- a/Source/scheduler/dump.cc
+++ b/Source/scheduler/dump.cc
@@ -166,8 +166,8 @@
   return value;
 }
 
-StateFigures FiguresOf(const State& state) {
-  StateFigures figures{.owned = state.ownership.owned,
+StateMetrics CollectStateMetrics(const State& state) {
+  StateMetrics figures{.owned = state.ownership.owned,
                        .waiting_tasks = state.jobs.waiting,
                        .capacity = state.placement.total_capacity(),
                        .free = state.placement.total_free(),
--- a/Source/scheduler/dump.h
+++ b/Source/scheduler/dump.h
@@ -15,7 +15,7 @@
 Json::Value DumpState(const State& state, Time now);
 
 // What the metrics are read from.
-struct StateFigures {
+struct StateMetrics {
   std::uint32_t owned = 0;
   std::array<std::size_t, kUrgencyCount> waiting_requests{};
   std::int64_t waiting_tasks = 0;
@@ -24,7 +24,7 @@
   Counters counters;
 };
 
-StateFigures FiguresOf(const State& state);
+StateMetrics CollectStateMetrics(const State& state);
 
 }  // namespace burdockrock
 
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -49,7 +49,7 @@
   State& state = context.state();
   Task& task = job.tasks[index];
   task.attempt = state.jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   WorkerRecord& worker =
       state.ownership.workers.at(state.placement.info(target).id);
   task.owner = context.self();
@@ -68,7 +68,7 @@
                 const std::string& peer) {
   job.tasks[index].attempt =
       context.state().jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   OfferTask(context, job, index, peer, true);
 }
 
@@ -96,7 +96,7 @@
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     if (job.tasks[it].state == TaskState::kQueued) {
       EndTask(context, job, it, TaskState::kFailed);
-    } else if (IsOut(job.tasks[it])) {
+    } else if (IsOutstanding(job.tasks[it])) {
       StopAttempt(context, job, it);
     }
   }
@@ -144,7 +144,7 @@
 }
 
 void OnGangTaskHeld(Context& context, Job& job) {
-  if (job.gang_running || job.settling) {
+  if (job.gang_running || job.recovering) {
     return;
   }
   const bool all_held =
@@ -208,7 +208,7 @@
   }
 }
 
-void SettleGang(Context& context, Job& job) {
+void RecoverGang(Context& context, Job& job) {
   const bool all_run =
       std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& it) {
         return it.state == TaskState::kRunning || HasEnded(it);
--- a/Source/scheduler/gangs.h
+++ b/Source/scheduler/gangs.h
@@ -26,7 +26,7 @@
 void BackOffGang(Context& context, Job& job, const std::string& why);
 
 // The attempts of an adopted gang have been looked for: it goes on if all run.
-void SettleGang(Context& context, Job& job);
+void RecoverGang(Context& context, Job& job);
 
 // The hold or the backoff ends.
 void OnGangTimer(Context& context, const std::string& id);
--- a/Source/scheduler/job_admission.cc
+++ b/Source/scheduler/job_admission.cc
@@ -210,8 +210,9 @@
   if (!job->recorded) {
     const auto log = context.state().logs.find(job->log);
     if (job->accept_ticket != 0 && log != context.state().logs.end()) {
-      RunLedger(context, job->log,
-                log->second.log->GiveUp(job->accept_ticket, context.now()));
+      ApplyLedgerProgress(
+          context, job->log,
+          log->second.log->GiveUp(job->accept_ticket, context.now()));
       return;
     }
     GiveUpClaim(context, job->spec.team, job->spec.key, id, job->claim_ticket);
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -266,10 +266,10 @@
     Job& job = jobs.jobs.at(it);
     if (job.finished) {
       CloseUnended(job);
-      context.After(kFinishedKept, TimerKind::kForgetJob, it);
+      context.After(kFinishedJobRetention, TimerKind::kForgetJob, it);
     } else {
       OrphanUnended(context, job);
-      job.settling = true;
+      job.recovering = true;
       job.went = true;
       ++unfinished;
       FinishIfDone(context, job);
--- a/Source/scheduler/job_status.cc
+++ b/Source/scheduler/job_status.cc
@@ -67,9 +67,9 @@
     }
   }
   if (!job.cancel_peer.empty() && recorded) {
-    context.Send(
-        job.cancel_peer,
-        AskWorkAnswer{.ask = job.cancel_ask, .found = true, .status = *status});
+    context.Send(job.cancel_peer, AskWorkAnswer{.ask = job.cancel_query,
+                                                .found = true,
+                                                .status = *status});
     job.cancel_peer.clear();
   }
 }
--- a/Source/scheduler/job_status.h
+++ b/Source/scheduler/job_status.h
@@ -20,12 +20,14 @@
 void CancelJob(Context& context, Job& job);
 
 // Asked by a caller; passed to the journal's writer if that is another.
-void OnWorkAsked(Context& context, const WorkAsked& asked);
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask);
+void OnWorkQuery(Context& context, const WorkAsked& asked);
+void OnPeerWorkQuery(Context& context,
+                     const std::string& from,
+                     const AskWork& ask);
 
 // Answers questions that the writer has not answered in time.
-void ExpireAsks(Context& context);
-void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer);
+void ExpireForwardedQueries(Context& context);
+void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer);
 
 // What the journal answered to the record of a cancel.
 void OnCancelRecorded(Context& context,
--- a/Source/scheduler/jobs.cc
+++ b/Source/scheduler/jobs.cc
@@ -6,14 +6,14 @@
 
 namespace burdockrock {
 
-bool IsOut(const Task& task) {
+bool IsOutstanding(const Task& task) {
   return task.state == TaskState::kStarting || task.state == TaskState::kHeld ||
          task.state == TaskState::kRunning ||
          task.state == TaskState::kStopping ||
          task.state == TaskState::kOrphaned;
 }
 
-void NoteDispatched(Context& context, Job& job, std::uint32_t index) {
+void ChargeTeam(Context& context, Job& job, std::uint32_t index) {
   --job.queued;
   --context.state().jobs.waiting;
   Task& task = job.tasks[index];
@@ -24,8 +24,8 @@
 }
 
 // The room that the task counted for is returned to its team.
-void NoteReturned(Context& context, Job& job, std::uint32_t index) {
-  if (IsOut(job.tasks[index])) {
+void CreditTeam(Context& context, Job& job, std::uint32_t index) {
+  if (IsOutstanding(job.tasks[index])) {
     context.state().jobs.team_usage[job.spec.team] -= job.spec.resources;
   }
 }
@@ -62,7 +62,7 @@
 
 void RequeueTask(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   task.state = TaskState::kQueued;
   task.worker.clear();
   task.owner.clear();
@@ -82,7 +82,7 @@
   job.finished = true;
   context.Log(EventNumber::kJobEnded, {{"job", job.id}});
   AppendTo(context, job.log, RecordOfJob(job), {}, std::nullopt);
-  context.After(kFinishedKept, TimerKind::kForgetJob, job.id);
+  context.After(kFinishedJobRetention, TimerKind::kForgetJob, job.id);
 }
 
 void OnForgetJobTimer(Context& context, const std::string& id) {
@@ -108,7 +108,7 @@
   }
   state.jobs.waiting -= job->queued;
   for (std::uint32_t it = 0; it < job->tasks.size(); ++it) {
-    NoteReturned(context, *job, it);
+    CreditTeam(context, *job, it);
   }
   state.jobs.jobs.erase(state.jobs.jobs.find(id));
 }
--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -51,7 +51,7 @@
   Time offered{0};
   std::string worker;  // where it is, when known
   std::string owner;   // the member that owns the worker
-  std::string answer;  // of an ended task, cut at kMaxKeptAnswer
+  std::string answer;  // of an ended task, cut at kMaxAnswerBytes
 };
 
 // Names: journal "jobs.DOMAIN.INSTANCE.INCARNATION-NUMBER", job
@@ -59,10 +59,10 @@
 inline constexpr char kJobIdPrefix[] = "j.";
 inline constexpr char kJournalPrefix[] = "jobs.";
 
-inline constexpr std::size_t kMaxKeptAnswer = 1024;
+inline constexpr std::size_t kMaxAnswerBytes = 1024;
 
 // How long a finished job's status can be asked for.
-inline constexpr Duration kFinishedKept = std::chrono::minutes(10);
+inline constexpr Duration kFinishedJobRetention = std::chrono::minutes(10);
 
 struct Job {
   std::string id;
@@ -72,7 +72,7 @@
   ReplyId reply = 0;                    // waits to hear "accepted"
   std::vector<ReplyId> cancel_replies;  // wait for the cancel's record
   std::string cancel_peer;              // a peer that asked for the cancel
-  std::uint64_t cancel_ask = 0;
+  std::uint64_t cancel_query = 0;
   Time arrived{0};
   Time first_start{0};
   bool recorded = false;  // the journal holds it
@@ -91,7 +91,7 @@
   // Of a gang.
   bool gang_running = false;  // all were held and told to go
   bool went = false;          // some task may have been told to go, ever
-  bool settling = false;      // adopted, and its attempts are looked for
+  bool recovering = false;    // adopted, and its attempts are looked for
   Time hold_until{0};         // while it is being assembled
   Time retry_at{0};
   std::uint32_t backoffs = 0;
@@ -108,7 +108,7 @@
 };
 
 // A caller's question that was passed to the writer of a job's journal.
-struct OpenAsk {
+struct ForwardedQuery {
   ReplyId reply = 0;
   std::string id;
   bool cancel = false;
@@ -132,8 +132,8 @@
   std::map<AttemptId, Time> moved;
   // Stops that came before their offers; value: when to forget.
   std::map<AttemptId, Time> stopped_early;
-  std::uint64_t next_ask = 1;
-  std::map<std::uint64_t, OpenAsk> asks;
+  std::uint64_t next_query = 1;
+  std::map<std::uint64_t, ForwardedQuery> asks;
 };
 
 Job* FindJob(Context& context, const std::string& id);
@@ -153,13 +153,13 @@
 void OnRetryTaskTimer(Context& context, const std::string& id);
 
 // A task that is out: it holds or may hold room somewhere.
-bool IsOut(const Task& task);
+bool IsOutstanding(const Task& task);
 
 // The task left the waiting ones and counts against its team.
-void NoteDispatched(Context& context, Job& job, std::uint32_t task);
+void ChargeTeam(Context& context, Job& job, std::uint32_t task);
 
 // The room that the task counted for is returned to its team.
-void NoteReturned(Context& context, Job& job, std::uint32_t task);
+void CreditTeam(Context& context, Job& job, std::uint32_t task);
 
 // Ends the job if its last task has ended.
 void FinishIfDone(Context& context, Job& job);
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -213,7 +213,7 @@
   journal.ready = true;
   journal.next_attempt = journal.generation << kAttemptsShift;
   OpenLog& open = AddLog(context, JournalOptions(context, name));
-  RunLedger(context, name, open.log->Create(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Create(context.now()));
   return jobs.journals.at(name);
 }
 
@@ -236,7 +236,9 @@
   return ticket;
 }
 
-void RunLedger(Context& context, std::string name, LedgerProgress progress) {
+void ApplyLedgerProgress(Context& context,
+                         std::string name,
+                         LedgerProgress progress) {
   State& state = context.state();
   for (LedgerCall& it : progress.calls) {
     context.CallPlatform(std::move(it.operation), kLedgerTimeout,
@@ -264,7 +266,8 @@
   } else if (progress.closed) {
     context.After(log.PurgeDelay(), TimerKind::kJournal, name);
   } else if (progress.opened) {
-    RunLedger(context, name, state.logs.at(name).log->Adopt(context.now()));
+    ApplyLedgerProgress(context, name,
+                        state.logs.at(name).log->Adopt(context.now()));
   }
   if (progress.adopted) {
     OnAdopted(context, name);
@@ -281,7 +284,7 @@
     return;
   }
   it->second.timer_at = kForever;
-  RunLedger(context, name, it->second.log->OnTime(context.now()));
+  ApplyLedgerProgress(context, name, it->second.log->OnTime(context.now()));
 }
 
 void AdoptJournal(Context& context, const std::string& name) {
@@ -291,7 +294,7 @@
     return;
   }
   OpenLog& open = AddLog(context, JournalOptions(context, name));
-  RunLedger(context, name, open.log->Open(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Open(context.now()));
 }
 
 void OnOrphanScanTimer(Context& context) {
@@ -360,7 +363,7 @@
   SlotLog& log = *it->second.log;
   if (log.is_closed()) {
     context.After(kEmptyJournalCheck, TimerKind::kJournal, name);
-    RunLedger(context, name, log.Purge(context.now()));
+    ApplyLedgerProgress(context, name, log.Purge(context.now()));
     return;
   }
   const bool is_empty = std::all_of(
@@ -372,7 +375,7 @@
     AppendTo(context, name, {.key = kGenerationKey, .kind = kEraseKind}, {},
              std::nullopt);  // closed at the next check
   } else if (may_close) {
-    RunLedger(context, name, log.Close(context.now()));
+    ApplyLedgerProgress(context, name, log.Close(context.now()));
   }
   context.After(kEmptyJournalCheck, TimerKind::kJournal, name);
 }
--- a/Source/scheduler/journal.h
+++ b/Source/scheduler/journal.h
@@ -65,7 +65,9 @@
 
 // Carries out what a step of a log asks for. The name is copied: a step may
 // end the job that it was taken from.
-void RunLedger(Context& context, std::string name, LedgerProgress progress);
+void ApplyLedgerProgress(Context& context,
+                         std::string name,
+                         LedgerProgress progress);
 
 void OnLedgerTimer(Context& context, const std::string& name);
 
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -103,7 +103,7 @@
       const Task& task = job.tasks[it];
       // Also one that was told to stop: the word may be lost with the peer, and
       // the job would wait for its end for ever.
-      if (IsOut(task) && task.owner == id) {
+      if (IsOutstanding(task) && task.owner == id) {
         OrphanTask(context, job, it);
       }
     }
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -125,10 +125,10 @@
     ApplyInstances(context, message.list);
   }
   void operator()(const AskWork& message) const {
-    OnAskWork(context, said.from, message);
+    OnPeerWorkQuery(context, said.from, message);
   }
   void operator()(const AskWorkAnswer& message) const {
-    OnAskWorkAnswer(context, message);
+    OnPeerWorkReply(context, message);
   }
 };
 
@@ -148,7 +148,7 @@
   void operator()(const LedgerPurpose& purpose) const {
     const auto it = context.state().logs.find(purpose.log);
     if (it != context.state().logs.end()) {
-      RunLedger(
+      ApplyLedgerProgress(
           context, purpose.log,
           it->second.log->OnAnswer(purpose.ledger_call, result, context.now()));
     }
@@ -198,16 +198,16 @@
   void operator()(const JobArrived& event) const {
     OnJobArrived(context, event);
   }
-  void operator()(const WorkAsked& event) const { OnWorkAsked(context, event); }
+  void operator()(const WorkAsked& event) const { OnWorkQuery(context, event); }
   void operator()(const CallerGone& /*event*/) const {}
   void operator()(const ConfigAsked& event) const {
-    OnConfigAsked(context, event);
+    OnConfigRequested(context, event);
   }
   void operator()(const ConfigProposed& event) const {
     OnConfigProposed(context, event);
   }
   void operator()(const DrainAsked& event) const {
-    OnDrainAsked(context, event);
+    OnDrainRequested(context, event);
   }
   void operator()(const PlatformAnswered& event) const {
     auto& calls = context.state().calls.platform;
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -214,9 +214,9 @@
       all_settled = false;
       continue;
     }
-    if (std::exchange(job->settling, false) && !job->finished &&
+    if (std::exchange(job->recovering, false) && !job->finished &&
         !job->cancelled && job->spec.kind == JobKind::kGang) {
-      SettleGang(context, *job);
+      RecoverGang(context, *job);
     }
   }
   return all_settled;
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -162,7 +162,7 @@
     Booking& booking = holder->bookings.at(offer.attempt);
     booking.offer_sequence = offer.sequence;
     if (booking.confirmed != Time(0)) {
-      TellWriter(context, *holder, booking);
+      ReportToWriter(context, *holder, booking);
     }
     return;
   }
@@ -197,7 +197,7 @@
   Job* job = JobOfAttempt(context, refused.attempt, &task);
   if (refused.reason == kMoved) {
     if (job != nullptr && task->attempt == refused.attempt.number &&
-        task->owner == from && IsOut(*task)) {
+        task->owner == from && IsOutstanding(*task)) {
       OrphanTask(context, *job, refused.attempt.task);
     }
     return;
@@ -238,18 +238,18 @@
          kMoved);
 }
 
-void OnStartDone(Context& context,
-                 WorkerRecord& worker,
-                 const AttemptId& attempt) {
+void OnStartAccepted(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt) {
   Booking& booking = worker.bookings.at(attempt);
   booking.uncertain = false;
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void OnStartNotDone(Context& context,
-                    WorkerRecord& worker,
-                    const AttemptId& attempt,
-                    const std::string& why) {
+void OnStartRejected(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt,
+                     const std::string& why) {
   const Booking booking = worker.bookings.at(attempt);
   EraseBooking(context, worker, attempt);
   if (why == "no_room") {
@@ -301,12 +301,12 @@
                    : report.attempt.job,
             failed, job != nullptr && job->bad);
   }
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void TellWriter(Context& context,
-                const WorkerRecord& worker,
-                Booking& booking) {
+void ReportToWriter(Context& context,
+                    const WorkerRecord& worker,
+                    Booking& booking) {
   booking.told = context.now();
   const AttemptReport report = ReportOf(booking);
   const std::string log = LogOfJob(report.attempt.job);
@@ -439,7 +439,7 @@
     for (const AttemptId& it : untold) {
       const auto booking = worker.bookings.find(it);
       if (booking != worker.bookings.end()) {
-        TellWriter(context, worker, booking->second);
+        ReportToWriter(context, worker, booking->second);
       }
     }
   }
@@ -448,7 +448,7 @@
   std::erase_if(state.jobs.moved,
                 [&](const auto& it) { return it.second < context.now(); });
   ForgetOldForwards(context);
-  ExpireAsks(context);
+  ExpireForwardedQueries(context);
   context.After(kOfferRepeat, TimerKind::kOffers);
 }
 
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -112,7 +112,7 @@
     return true;
   }
   task.attempt = state.jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   if (!local) {
     OfferTask(context, job, index, peer, false);
     return true;
--- a/Source/scheduler/tasks.h
+++ b/Source/scheduler/tasks.h
@@ -58,13 +58,13 @@
 void OnAttemptMoved(Context& context, const Booking& booking);
 
 // The worker's answers, passed to the journal's writer.
-void OnStartDone(Context& context,
-                 WorkerRecord& worker,
-                 const AttemptId& attempt);
-void OnStartNotDone(Context& context,
-                    WorkerRecord& worker,
-                    const AttemptId& attempt,
-                    const std::string& why);
+void OnStartAccepted(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt);
+void OnStartRejected(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt,
+                     const std::string& why);
 
 // The worker says that an attempt ended, or no longer has it.
 void OnEndReported(Context& context,
@@ -72,7 +72,9 @@
                    const AttemptReport& report);
 
 // Tells the journal's writer of a running or ended attempt.
-void TellWriter(Context& context, const WorkerRecord& worker, Booking& booking);
+void ReportToWriter(Context& context,
+                    const WorkerRecord& worker,
+                    Booking& booking);
 
 void OnTaskOffer(Context& context,
                  const std::string& from,
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -38,18 +38,18 @@
                const WorkAsked& asked,
                const std::string& writer) {
   Jobs& jobs = context.state().jobs;
-  const std::uint64_t ask = jobs.next_ask++;
-  jobs.asks.emplace(ask, OpenAsk{.reply = asked.reply,
-                                 .id = asked.id,
-                                 .cancel = asked.cancel,
-                                 .until = context.now() + kAskPatience});
+  const std::uint64_t ask = jobs.next_query++;
+  jobs.asks.emplace(ask, ForwardedQuery{.reply = asked.reply,
+                                        .id = asked.id,
+                                        .cancel = asked.cancel,
+                                        .until = context.now() + kAskPatience});
   context.Send(writer,
                AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkAsked& asked) {
+void OnWorkQuery(Context& context, const WorkAsked& asked) {
   const auto request = asked.cancel ? CancelRequest(context, asked.id)
                                     : RequestStatus(context, asked.id);
   if (request) {
@@ -79,7 +79,9 @@
   AskWriter(context, asked, writer);
 }
 
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
+void OnPeerWorkQuery(Context& context,
+                     const std::string& from,
+                     const AskWork& ask) {
   Job* job = FindJob(context, ask.id);
   if (job == nullptr) {
     const bool writes =
@@ -90,7 +92,7 @@
   }
   if (ask.cancel) {
     job->cancel_peer = from;
-    job->cancel_ask = ask.ask;
+    job->cancel_query = ask.ask;
     CancelJob(context, *job);
     return;
   }
@@ -101,10 +103,10 @@
 
 // The writer may have died with the question: the caller hears that it has to
 // ask again instead of nothing. A cancel may have been taken.
-void ExpireAsks(Context& context) {
+void ExpireForwardedQueries(Context& context) {
   Jobs& jobs = context.state().jobs;
   for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
-    const OpenAsk& ask = it->second;
+    const ForwardedQuery& ask = it->second;
     if (context.now() < ask.until) {
       ++it;
       continue;
@@ -125,13 +127,13 @@
   }
 }
 
-void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer) {
+void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer) {
   Jobs& jobs = context.state().jobs;
   const auto it = jobs.asks.find(answer.ask);
   if (it == jobs.asks.end()) {
     return;  // doubled
   }
-  const OpenAsk ask = it->second;
+  const ForwardedQuery ask = it->second;
   jobs.asks.erase(it);
   if (!answer.found && !answer.writes) {
     // The journal has just moved to another writer, which may have the job.
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -59,7 +59,7 @@
   context.state().placement.ForceTake(*worker.index, report.resources);
   Booking& added = AddBooking(context, worker, std::move(booking));
   if (!added.is_request) {
-    TellWriter(context, worker, added);
+    ReportToWriter(context, worker, added);
   }
 }
 
@@ -83,9 +83,9 @@
   booking.state = report.state;
   if (booking.uncertain && !booking.is_request) {
     booking.uncertain = false;
-    OnStartDone(context, worker, report.attempt);
+    OnStartAccepted(context, worker, report.attempt);
   } else if (news && !booking.is_request) {
-    TellWriter(context, worker, booking);
+    ReportToWriter(context, worker, booking);
   }
 }
 
@@ -333,21 +333,21 @@
   if (std::holds_alternative<StartDone>(result)) {
     NoteAnswer(context, worker);
     booking.confirmed = context.now();
-    OnStartDone(context, worker, attempt);
+    OnStartAccepted(context, worker, attempt);
     return;
   }
   if (const auto* refused = std::get_if<StartRefused>(&result)) {
-    OnStartNotDone(context, worker, attempt, refused->reason);
+    OnStartRejected(context, worker, attempt, refused->reason);
     return;
   }
   if (std::holds_alternative<StaleEpoch>(result)) {
-    OnStartNotDone(context, worker, attempt, "stale_epoch");
+    OnStartRejected(context, worker, attempt, "stale_epoch");
     return;
   }
   const auto* lost = std::get_if<WorkerUnreachable>(&result);
   worker.suspect = true;
   if (lost != nullptr && !lost->may_have_been_received) {
-    OnStartNotDone(context, worker, attempt, "unreachable");
+    OnStartRejected(context, worker, attempt, "unreachable");
     RenewNow(context, worker);
   } else {
     booking.uncertain = true;
--- a/Tests/bench/control_bench.cc
+++ b/Tests/bench/control_bench.cc
@@ -120,7 +120,7 @@
 void BenchManyDomains(BenchReport& report) {
   const auto group = MakeSettled(
       {.entries = std::vector<std::uint32_t>(kManyDomains, 6), .workers = 5});
-  const std::size_t silent = group->LinesOf(EventNumber::kPeerSilent).size();
+  const std::size_t silent = group->LogLinesOf(EventNumber::kPeerSilent).size();
   const WireMeter meter(*group);
   group->Run(kSpan);
   const double span_s = static_cast<double>(kSpan / seconds(1));
@@ -130,7 +130,7 @@
        .unit = "1/s",
        .bound = AtMost(kIdleCalls)});
   const std::size_t lost =
-      group->LinesOf(EventNumber::kPeerSilent).size() - silent;
+      group->LogLinesOf(EventNumber::kPeerSilent).size() - silent;
   report.Add({.name = "control.idle_60.live_peers_taken_for_dead",
               .value = static_cast<double>(lost) / span_s,
               .unit = "1/s",
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -266,7 +266,7 @@
   group.Restart("d0-e0");
   group.Restart("d0-e1");
   group.Run(seconds(10));
-  CHECK(group.LinesOf(EventNumber::kConfigurationAwaited).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kConfigurationAwaited).size() == 2);
   CHECK(group.state("d0-e0").counters.platform_calls < 20);
   const ReplyId early = group.Submit("d0-e0", DeskRequest("answer=x"));
   const auto refused = group.VerdictOf(early);
--- a/Tests/scheduler/entry_failure_test.cc
+++ b/Tests/scheduler/entry_failure_test.cc
@@ -70,7 +70,8 @@
       AcceptedJob(group, "d0-e1", LongJob(JobKind::kBatch, 30));
   group.CutPeers("d0-e0", "d0-e1", true);
   group.Run(seconds(60));
-  const std::size_t claims = group.LinesOf(EventNumber::kWorkerClaimed).size();
+  const std::size_t claims =
+      group.LogLinesOf(EventNumber::kWorkerClaimed).size();
   CHECK(claims < 60);
   group.CutPeers("d0-e0", "d0-e1", false);
   CHECK(RunUntilDone(group, first, seconds(120)));
--- a/Tests/scheduler/entry_group.cc
+++ b/Tests/scheduler/entry_group.cc
@@ -46,7 +46,7 @@
     : options_(std::move(options)),
       random_(options_.seed),
       platform_({.instances_lag = options_.list_lag}) {
-  by_kind_.resize(std::variant_size_v<PeerMessage>);
+  messages_by_kind_.resize(std::variant_size_v<PeerMessage>);
   BuildInstances();
   platform_.instances().Set(instances_);
   platform_.Apply(KvPut{.key = kPolicyKey,
@@ -114,7 +114,7 @@
     }
   }
   entry.state = std::make_unique<State>(MakeState(std::move(options)));
-  config_seen_.erase(entry.id);
+  config_revisions_.erase(entry.id);
   Step(entry, ProcessStarted{});
 }
 
@@ -139,9 +139,9 @@
 }
 
 void EntryGroup::After(Duration delay, std::function<void()> action) {
-  agenda_.push({.at = now_ + delay,
-                .sequence = next_sequence_++,
-                .action = std::move(action)});
+  scheduled_.push({.at = now_ + delay,
+                   .sequence = next_sequence_++,
+                   .action = std::move(action)});
 }
 
 void EntryGroup::Run(Duration span) {
@@ -154,7 +154,7 @@
     if (done()) {
       return true;
     }
-    if (agenda_.empty() || agenda_.top().at > end) {
+    if (scheduled_.empty() || scheduled_.top().at > end) {
       now_ = end;
       return done();
     }
@@ -164,8 +164,8 @@
 }
 
 void EntryGroup::RunOne() {
-  const Occasion occasion = agenda_.top();
-  agenda_.pop();
+  const ScheduledAction occasion = scheduled_.top();
+  scheduled_.pop();
   now_ = std::max(now_, occasion.at);
   occasion.action();
 }
@@ -191,12 +191,12 @@
     if (on_effect) {
       on_effect(entry.id, it);
     }
-    Carry(entry, it);
+    ApplyEffect(entry, it);
   }
-  Revision& seen = config_seen_[entry.id];
+  Revision& seen = config_revisions_[entry.id];
   const Revision revision = entry.state->config.view.revision;
   if (revision < seen) {
-    broken_.push_back(entry.id + " went back to an older configuration");
+    violations_.push_back(entry.id + " went back to an older configuration");
   }
   seen = revision;
   if (entry.up) {
@@ -224,18 +224,18 @@
   });
 }
 
-void EntryGroup::Carry(Entry& entry, const Effect& effect) {
+void EntryGroup::ApplyEffect(Entry& entry, const Effect& effect) {
   if (const auto* answer = std::get_if<AnswerCaller>(&effect)) {
     if (!answers_.emplace(answer->reply, answer->answer).second) {
-      broken_.push_back("a caller was answered twice");
+      violations_.push_back("a caller was answered twice");
     }
     answered_at_.emplace(answer->reply, now_);
   } else if (const auto* platform = std::get_if<CallPlatform>(&effect)) {
-    CarryPlatform(entry, *platform);
+    DeliverPlatformCall(entry, *platform);
   } else if (const auto* worker = std::get_if<CallWorker>(&effect)) {
-    CarryWorker(entry, *worker);
+    DeliverWorkerCall(entry, *worker);
   } else if (const auto* send = std::get_if<SendPeer>(&effect)) {
-    CarryPeer(entry, *send);
+    DeliverPeerMessage(entry, *send);
   } else if (const auto* log = std::get_if<WriteLog>(&effect)) {
     if (std::getenv("BURDOCKROCK_TRACE") != nullptr) {
       const LogHeader header{.time = std::to_string(now_.count()),
@@ -320,12 +320,12 @@
 
 void EntryGroup::DropFromList(const std::string& id) {
   platform_.instances().Remove(id, now_);
-  PokePlatform();
+  AdvancePlatform();
 }
 
 void EntryGroup::MarkLeaving(const std::string& id) {
   platform_.instances().MarkLeaving(id, true, now_);
-  PokePlatform();
+  AdvancePlatform();
 }
 
 ReplyId EntryGroup::Submit(const std::string& entry, Request request) {
@@ -434,7 +434,7 @@
 }
 
 std::string EntryGroup::Violations() {
-  std::vector<std::string> lines = broken_;
+  std::vector<std::string> lines = violations_;
   if (recorder_.doubled() > 0) {
     const standin::DoubledExecution& first = recorder_.doubles().front();
     lines.push_back(
@@ -456,10 +456,10 @@
 }
 
 std::uint64_t EntryGroup::peer_messages_of_kind(std::size_t index) const {
-  return by_kind_.at(index);
+  return messages_by_kind_.at(index);
 }
 
-std::vector<LogLine> EntryGroup::LinesOf(EventNumber number) const {
+std::vector<LogLine> EntryGroup::LogLinesOf(EventNumber number) const {
   std::vector<LogLine> found;
   for (const LogLine& it : lines_) {
     if (it.number == number) {
--- a/Tests/scheduler/entry_group.h
+++ b/Tests/scheduler/entry_group.h
@@ -122,7 +122,7 @@
   std::uint64_t peer_messages() const { return peer_messages_; }
   std::uint64_t peer_messages_of_kind(std::size_t index) const;
   const std::vector<Duration>& waits() const { return waits_; }
-  std::vector<LogLine> LinesOf(EventNumber number) const;
+  std::vector<LogLine> LogLinesOf(EventNumber number) const;
   // Sees each effect as it is carried out.
   std::function<void(const std::string& entry, const Effect&)> on_effect;
 
@@ -140,22 +140,22 @@
     std::deque<EventBody> held;  // while paused
     Time timer_at = kForever;
   };
-  struct Occasion {
+  struct ScheduledAction {
     Time at{0};
     std::uint64_t sequence = 0;
     std::function<void()> action;
-    bool operator>(const Occasion& other) const {
+    bool operator>(const ScheduledAction& other) const {
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
-  struct HeldWatch {
+  struct PendingWatch {
     std::string entry;
     std::uint64_t incarnation = 0;
     CallId call = 0;
     PlatformOperation operation;
     Time until{0};
   };
-  struct HeldRenew {
+  struct PendingRenewal {
     std::string entry;
     std::uint64_t incarnation = 0;
     CallId call = 0;
@@ -165,8 +165,8 @@
   struct Machine {
     std::unique_ptr<standin::WorkerModel> model;
     bool killed = false;
-    Time poke_at = kForever;  // when the model is looked at again
-    std::list<HeldRenew> renews;
+    Time next_advance = kForever;  // when the model is looked at again
+    std::list<PendingRenewal> renews;
   };
 
   void BuildInstances();
@@ -178,10 +178,10 @@
   void Step(Entry& entry, EventBody body);
   void ArmTimer(Entry& entry);
   void RunOne();
-  void Carry(Entry& entry, const Effect& effect);
-  void CarryPlatform(Entry& entry, const CallPlatform& call);
-  void CarryWorker(Entry& entry, const CallWorker& call);
-  void CarryPeer(Entry& entry, const SendPeer& send);
+  void ApplyEffect(Entry& entry, const Effect& effect);
+  void DeliverPlatformCall(Entry& entry, const CallPlatform& call);
+  void DeliverWorkerCall(Entry& entry, const CallWorker& call);
+  void DeliverPeerMessage(Entry& entry, const SendPeer& send);
   void ApplyCommand(const std::string& entry,
                     std::uint64_t incarnation,
                     const CallWorker& call);
@@ -194,8 +194,8 @@
                       std::uint64_t incarnation,
                       CallId call,
                       PlatformResult result);
-  void PokePlatform();
-  void PokeWorker(const std::string& id);
+  void AdvancePlatform();
+  void AdvanceWorker(const std::string& id);
 
   EntryGroupOptions options_;
   std::mt19937_64 random_;
@@ -204,15 +204,18 @@
   std::map<std::string, Entry> entries_;
   std::map<std::string, Machine> machines_;
   std::vector<InstanceInfo> instances_;
-  std::priority_queue<Occasion, std::vector<Occasion>, std::greater<>> agenda_;
-  std::list<HeldWatch> watches_;
+  std::priority_queue<ScheduledAction,
+                      std::vector<ScheduledAction>,
+                      std::greater<>>
+      scheduled_;
+  std::list<PendingWatch> watches_;
   std::map<ReplyId, CallerAnswer> answers_;
   std::map<ReplyId, Time> answered_at_;
   std::vector<LogLine> lines_;
   std::vector<Duration> waits_;
-  std::map<std::string, Revision> config_seen_;
-  std::vector<std::string> broken_;
-  std::vector<std::uint64_t> by_kind_;
+  std::map<std::string, Revision> config_revisions_;
+  std::vector<std::string> violations_;
+  std::vector<std::uint64_t> messages_by_kind_;
   Time now_{0};
   std::uint64_t next_sequence_ = 0;
   std::uint64_t next_incarnation_ = 100;
--- a/Tests/scheduler/entry_group_edges.cc
+++ b/Tests/scheduler/entry_group_edges.cc
@@ -13,7 +13,7 @@
 constexpr Duration kRefusedDelay = std::chrono::microseconds(300);
 }  // namespace
 
-void EntryGroup::CarryPlatform(Entry& entry, const CallPlatform& call) {
+void EntryGroup::DeliverPlatformCall(Entry& entry, const CallPlatform& call) {
   const std::string id = entry.id;
   const std::uint64_t incarnation = entry.incarnation;
   const auto fail = [this, id, incarnation, call] {
@@ -42,9 +42,9 @@
                           .call = call.call,
                           .operation = call.operation,
                           .until = until});
-      After(until - now_, [this] { PokePlatform(); });
+      After(until - now_, [this] { AdvancePlatform(); });
     }
-    PokePlatform();
+    AdvancePlatform();
   });
 }
 
@@ -61,7 +61,7 @@
         });
 }
 
-void EntryGroup::PokePlatform() {
+void EntryGroup::AdvancePlatform() {
   platform_.Advance(now_);
   if (platform_.faults().down) {
     return;
@@ -82,11 +82,11 @@
   if (next != kForever && next > now_) {
     // Those that watch hear of it when it shows, and not only when something
     // else calls the platform.
-    After(next - now_, [this] { PokePlatform(); });
+    After(next - now_, [this] { AdvancePlatform(); });
   }
 }
 
-void EntryGroup::CarryWorker(Entry& entry, const CallWorker& call) {
+void EntryGroup::DeliverWorkerCall(Entry& entry, const CallWorker& call) {
   const std::string id = entry.id;
   const std::uint64_t incarnation = entry.incarnation;
   const Machine& machine = machines_.at(call.worker);
@@ -137,14 +137,14 @@
                                 .call = call.call,
                                 .command = *renew,
                                 .until = until});
-      After(renew->wait, [this, id = call.worker] { PokeWorker(id); });
+      After(renew->wait, [this, id = call.worker] { AdvanceWorker(id); });
     } else if (first) {
       answer(*first);
     }
   } else if (const auto result = model.Apply(call.command, now_)) {
     answer(*result);
   }
-  PokeWorker(call.worker);
+  AdvanceWorker(call.worker);
 }
 
 void EntryGroup::AnswerWorker(const std::string& entry,
@@ -161,7 +161,7 @@
         });
 }
 
-void EntryGroup::PokeWorker(const std::string& id) {
+void EntryGroup::AdvanceWorker(const std::string& id) {
   Machine& machine = machines_.at(id);
   if (machine.killed) {
     return;
@@ -184,16 +184,17 @@
   // One look ahead for each machine. With one for each command, every look
   // would plan the next, and a busy machine's would grow with all commands
   // that it ever got.
-  const bool is_planned = machine.poke_at > now_ && machine.poke_at <= next;
+  const bool is_planned =
+      machine.next_advance > now_ && machine.next_advance <= next;
   if (next != kForever && next > now_ && !is_planned) {
-    machine.poke_at = next;
-    After(next - now_, [this, id] { PokeWorker(id); });
+    machine.next_advance = next;
+    After(next - now_, [this, id] { AdvanceWorker(id); });
   }
 }
 
-void EntryGroup::CarryPeer(Entry& entry, const SendPeer& send) {
+void EntryGroup::DeliverPeerMessage(Entry& entry, const SendPeer& send) {
   ++peer_messages_;
-  ++by_kind_[send.message.index()];
+  ++messages_by_kind_[send.message.index()];
   const auto target = entries_.find(send.peer);
   if (target == entries_.end()) {
     return;
--- a/Tests/scheduler/job_failure_test.cc
+++ b/Tests/scheduler/job_failure_test.cc
@@ -123,8 +123,8 @@
   group.Run(seconds(4));
   group.Kill("d0-e0");
   group.Run(seconds(30));
-  CHECK(group.LinesOf(EventNumber::kLogAdopted).size() == 1);
-  CHECK(group.LinesOf(EventNumber::kLogFenced).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kLogAdopted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kLogFenced).size() == 1);
   group.CutPeers("d0-e1", "d0-e2", false);
   CHECK(RunUntilDone(group, job, seconds(300)));
   CHECK(Overcommits(group) == 0);
@@ -172,7 +172,7 @@
   REQUIRE(group.recorder().executions() == 0);
   group.CutDomain(0, true);
   group.Run(seconds(30));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 1);
   CHECK(group.recorder().executions() == 30);
   group.CutDomain(0, false);
   CHECK(RunUntilDone(group, job, seconds(60)));
@@ -278,7 +278,7 @@
   REQUIRE(group.VerdictOf(two) == Verdict(Accepted{}));
   CHECK(RunUntilDone(group, group.JobIdOf(one), seconds(60)));
   CHECK(RunUntilDone(group, group.JobIdOf(two), seconds(60)));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 2);
   CHECK(group.recorder().executions() == 80);
   CHECK(Overcommits(group) == 0);
   CHECK(group.Violations() == "");
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -118,7 +118,7 @@
   CHECK(group.RunUntil([&] { return !group.IsUp("d0-e0"); }, seconds(60)));
   CHECK(asked.Check() == std::map<Reason, int>{{Reason::kDraining, 5}});
   CHECK(group.recorder().executions() == kSlots);
-  CHECK(group.LinesOf(EventNumber::kDrainStarted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kDrainStarted).size() == 1);
 }
 
 // Guards against stops that wait, without work, for an owner of their workers.
--- a/Tests/scheduler/path_test.cc
+++ b/Tests/scheduler/path_test.cc
@@ -63,7 +63,7 @@
       },
       seconds(20));
   CHECK(ended);
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 1);
   CHECK(group.recorder().executions() == 40);
   CHECK(group.Violations() == "");
 }
--- a/Tests/scheduler/worker_failure_test.cc
+++ b/Tests/scheduler/worker_failure_test.cc
@@ -125,7 +125,7 @@
       },
       seconds(120)));
   CHECK(most <= 2);
-  CHECK(!group.LinesOf(EventNumber::kJobJudgedBad).empty());
+  CHECK(!group.LogLinesOf(EventNumber::kJobJudgedBad).empty());
   CHECK(group.Violations() == "");
 }
 
@@ -147,7 +147,7 @@
     }
     most = std::max(most, now);
   }
-  CHECK(!group.LinesOf(EventNumber::kQuarantineCapReached).empty());
+  CHECK(!group.LogLinesOf(EventNumber::kQuarantineCapReached).empty());
   CHECK(most == 2);
 }
 
@@ -162,8 +162,8 @@
   const std::string job = AcceptJob(group, "d0-e0", bad);
   CHECK(RunUntilEnded(group, job, seconds(120)));
   CHECK(group.StatusOf(job)->failed == 200);
-  CHECK(group.LinesOf(EventNumber::kWorkerQuarantined).empty());
-  CHECK(group.LinesOf(EventNumber::kJobJudgedBad).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kWorkerQuarantined).empty());
+  CHECK(group.LogLinesOf(EventNumber::kJobJudgedBad).size() == 1);
 }
 
 // Symptom: a worker is sent more than its declared room.
@@ -278,7 +278,7 @@
     }
   }
   CHECK(RunUntilDone(group, job, seconds(200)));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 2);
   CHECK(group.recorder().executions() == 60);
   CHECK(Overcommits(group) == 0);
   CHECK(group.Violations() == "");
@@ -302,7 +302,7 @@
     CHECK(RunUntilEnded(group, it, seconds(120)));
     CHECK(group.StatusOf(it)->done == 40);
   }
-  const auto quarantined = group.LinesOf(EventNumber::kWorkerQuarantined);
+  const auto quarantined = group.LogLinesOf(EventNumber::kWorkerQuarantined);
   REQUIRE(!quarantined.empty());
   const std::size_t drawn = group.worker("d0-w2").executions().size();
   MESSAGE("starts drawn by the black hole: " << drawn << " of "
