--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_news.cc
@@ -27,7 +27,7 @@
   task.worker.clear();
   task.owner.clear();
   ++job.queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job.next_queued = std::min(job.next_queued, index);
   ++context.state().counters.retries;
   context.After(RetryDelay(context, task), TimerKind::kRetryTask, job.id);
@@ -66,10 +66,10 @@
   const bool was_queued = task.state == TaskState::kQueued;
   if (was_queued) {
     --job.queued;
-    --context.state().jobs.waiting;
+    --context.state().jobs.queued_tasks;
   }
   task.state = TaskState::kEnding;
-  task.end = end;
+  task.final_state = end;
   AppendTo(context, job.log, RecordOfEnd(job, index), {},
            EndAppend{.job = job.id, .task = index});
 }
@@ -86,7 +86,7 @@
   task.dispatched = outcome == AppendOutcome::kCommitted;
   task.state = TaskState::kQueued;
   ++job->queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job->next_queued = std::min(job->next_queued, index);
   QueueJob(context, *job);
 }
@@ -256,7 +256,7 @@
   }
   const bool is_gang = job.spec.kind == JobKind::kGang;
   // The tasks of a gang that was never told to go were held and did not run.
-  const bool may_have_run = task.dispatched && (!is_gang || job.went);
+  const bool may_have_run = task.dispatched && (!is_gang || job.go_sent);
   if (!job.spec.idempotent && may_have_run) {
     CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kMayHaveRun);
@@ -282,7 +282,7 @@
     return;  // fenced: the journal's new writer decides
   }
   Task& task = job->tasks[index];
-  task.state = task.end;
+  task.state = task.final_state;
   --job->open;
   AcknowledgeEnd(context, {.job = id, .task = index, .number = task.attempt},
                  task.owner);
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -13,10 +13,10 @@
 
 constexpr char kConfigPrefix[] = "config/";
 constexpr Duration kWatchWait = std::chrono::seconds(20);
-constexpr Duration kWatchGrace = std::chrono::seconds(3);
+constexpr Duration kWatchTimeoutMargin = std::chrono::seconds(3);
 constexpr Duration kWriteTimeout = std::chrono::seconds(3);
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(200);
-constexpr Duration kLastBackoff = std::chrono::seconds(5);
+constexpr Duration kMinBackoff = std::chrono::milliseconds(200);
+constexpr Duration kMaxBackoff = std::chrono::seconds(5);
 constexpr Duration kPlatformRetryAfter = std::chrono::seconds(2);
 
 std::vector<std::string> ErrorLines(const SettingErrors& errors) {
@@ -33,7 +33,7 @@
 // at once.
 void RetryWatch(Context& context) {
   ConfigState& config = context.state().config;
-  config.backoff = std::clamp(config.backoff * 2, kFirstBackoff, kLastBackoff);
+  config.backoff = std::clamp(config.backoff * 2, kMinBackoff, kMaxBackoff);
   config.retry_at = context.now() + context.Jitter(config.backoff);
   context.At(config.retry_at, TimerKind::kWatch);
 }
@@ -98,15 +98,15 @@
 
 void ApplyConfig(Context& context, const ConfigView& view) {
   ConfigState& config = context.state().config;
-  if (view.revision <= config.seen) {
-    if (view.revision < config.seen) {
+  if (view.revision <= config.latest_revision) {
+    if (view.revision < config.latest_revision) {
       context.Log(EventNumber::kConfigurationRefusedOlder,
                   {{"revision", std::to_string(view.revision)},
                    {"in_force", std::to_string(config.view.revision)}});
     }
     return;
   }
-  config.seen = view.revision;
+  config.latest_revision = view.revision;
   const auto parsed = ParsePolicyDocument(view.document, view.revision);
   std::vector<std::string> errors;
   if (const auto* faults = std::get_if<SettingErrors>(&parsed)) {
@@ -213,24 +213,26 @@
   ConfigState& config = state.config;
   // Until the platform or a peer has told both documents, each process asks
   // for itself.
-  const bool must_ask = config.seen == 0 || !state.membership.has_instances;
-  if (!must_ask && !IsWatcher(context)) {
+  const bool must_read =
+      config.latest_revision == 0 || !state.membership.has_instances;
+  if (!must_read && !IsWatcher(context)) {
     return;
   }
   if (context.now() < config.retry_at) {
     return;
   }
-  const Duration wait = must_ask ? Duration(0) : kWatchWait;
+  const Duration wait = must_read ? Duration(0) : kWatchWait;
   if (!config.watching) {
     config.watching = true;
-    const bool first = config.seen == 0;
+    const bool first = config.latest_revision == 0;
     if (first) {
-      context.CallPlatform(KvRange{.prefix = kConfigPrefix}, kWatchGrace,
-                           ConfigWatchPurpose{});
+      context.CallPlatform(KvRange{.prefix = kConfigPrefix},
+                           kWatchTimeoutMargin, ConfigWatchPurpose{});
     } else {
-      context.CallPlatform(
-          KvWatch{.prefix = kConfigPrefix, .after = config.seen, .wait = wait},
-          wait + kWatchGrace, ConfigWatchPurpose{});
+      context.CallPlatform(KvWatch{.prefix = kConfigPrefix,
+                                   .after = config.latest_revision,
+                                   .wait = wait},
+                           wait + kWatchTimeoutMargin, ConfigWatchPurpose{});
     }
   }
   if (!config.watching_instances) {
@@ -241,7 +243,7 @@
     context.CallPlatform(
         InstancesWatch{.after = state.membership.instances.revision,
                        .wait = list_wait},
-        list_wait + kWatchGrace, InstancesWatchPurpose{});
+        list_wait + kWatchTimeoutMargin, InstancesWatchPurpose{});
   }
 }
 
@@ -258,7 +260,7 @@
       ApplyConfig(context, {.revision = it.revision, .document = it.value});
     }
   }
-  if (config.seen == 0) {
+  if (config.latest_revision == 0) {
     // Nothing has been stored yet. Taken for a success this would start the
     // wait between tries anew each time, and each process would ask several
     // times a second for as long as there is no policy.
@@ -281,7 +283,7 @@
     RetryWatch(context);
     return;
   }
-  if (config.seen != 0) {
+  if (config.latest_revision != 0) {
     config.backoff = Duration(0);
   }
   ApplyInstances(context, *list);
--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -21,8 +21,8 @@
   Policy policy;
   ConfigView view;
   bool loaded = false;
-  Revision seen = 0;            // also of a document that could not be applied
-  bool absence_logged = false;  // that there is no policy yet has been logged
+  Revision latest_revision = 0;  // also of a document that could not be applied
+  bool absence_logged = false;   // that there is no policy yet has been logged
   bool watching = false;
   bool watching_instances = false;
   bool read_instances = false;  // the platform has answered since the start
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -15,9 +15,9 @@
 constexpr Duration kOfferInterval = std::chrono::seconds(1);
 // Accepted jobs are durable: a peer takes their journal over also after this
 // process has exited. The hand-over is waited for only so long.
-constexpr Duration kJournalPatience = std::chrono::seconds(10);
+constexpr Duration kJournalHandoverTimeout = std::chrono::seconds(10);
 // The same for workers with running tasks when there is no member to take them.
-constexpr Duration kWorkerPatience = std::chrono::seconds(30);
+constexpr Duration kWorkerHandoverTimeout = std::chrono::seconds(30);
 
 void EmptyQueues(Context& context) {
   State& state = context.state();
@@ -71,15 +71,16 @@
 bool IsComplete(const Context& context) {
   const State& state = context.state();
   const Duration spent = context.now() - state.drain.started;
-  const bool requests_done = state.requests.entries.empty();
-  const bool workers_gone = state.ownership.owned == 0 ||
-                            (state.membership.members.empty() &&
-                             (IsIdle(state) || spent > kWorkerPatience));
-  const bool nobody_adopts = state.membership.members.empty();
-  const bool jobs_gone = !HasUnfinishedJobs(state) ||
-                         (nobody_adopts && IsIdle(state)) ||
-                         spent > kJournalPatience;
-  return requests_done && workers_gone && jobs_gone;
+  const bool requests_finished = state.requests.entries.empty();
+  const bool workers_released =
+      state.ownership.owned == 0 ||
+      (state.membership.members.empty() &&
+       (IsIdle(state) || spent > kWorkerHandoverTimeout));
+  const bool has_no_adopter = state.membership.members.empty();
+  const bool jobs_released = !HasUnfinishedJobs(state) ||
+                             (has_no_adopter && IsIdle(state)) ||
+                             spent > kJournalHandoverTimeout;
+  return requests_finished && workers_released && jobs_released;
 }
 
 }  // namespace
--- a/Source/scheduler/dump.cc
+++ b/Source/scheduler/dump.cc
@@ -168,7 +168,7 @@
 
 StateMetrics CollectStateMetrics(const State& state) {
   StateMetrics figures{.owned = state.ownership.owned,
-                       .waiting_tasks = state.jobs.waiting,
+                       .waiting_tasks = state.jobs.queued_tasks,
                        .capacity = state.placement.total_capacity(),
                        .free = state.placement.total_free(),
                        .counters = state.counters};
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -154,7 +154,7 @@
     return;
   }
   job.gang_running = true;
-  job.went = true;
+  job.go_sent = true;
   job.hold_until = Time(0);
   context.Log(EventNumber::kGangStarted,
               {{"job", job.id}, {"tasks", std::to_string(job.tasks.size())}});
--- a/Source/scheduler/job_admission.cc
+++ b/Source/scheduler/job_admission.cc
@@ -24,13 +24,13 @@
   }
   const bool over_team =
       team->second.max_waiting > 0 &&
-      state.jobs.waiting + spec.count > team->second.max_waiting;
+      state.jobs.queued_tasks + spec.count > team->second.max_waiting;
   if (over_team) {
     return NotRun{.reason = Reason::kQuota,
                   .detail = "the team has too many tasks waiting",
                   .retry_after = RetryAfter(context, kPlatformRetryAfter)};
   }
-  if (state.jobs.waiting + spec.count >
+  if (state.jobs.queued_tasks + spec.count >
       context.policy().admission.max_queue_tasks) {
     return NotRun{.reason = Reason::kOverloaded,
                   .detail = "too many tasks are waiting",
@@ -173,7 +173,7 @@
                   ClaimState::kAccepted, "");
     }
     job->queued = job->spec.count;
-    context.state().jobs.waiting += job->spec.count;
+    context.state().jobs.queued_tasks += job->spec.count;
     if (job->spec.deadline > Duration(0)) {
       context.At(job->arrived + job->spec.deadline, TimerKind::kJobDeadline,
                  id);
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -146,7 +146,7 @@
   }
 }
 
-void OrphanUnended(Context& context, Job& job) {
+void OrphanUnfinishedTasks(Context& context, Job& job) {
   for (Task& it : job.tasks) {
     if (it.state == TaskState::kQueued) {
       it.state = TaskState::kOrphaned;
@@ -180,7 +180,7 @@
 LogRecord RecordOfEnd(const Job& job, std::uint32_t task) {
   // An array, as each quote of a member's name would be escaped twice.
   Json::Value value(Json::arrayValue);
-  value.append(NameOfEnd(job.tasks[task].end));
+  value.append(NameOfEnd(job.tasks[task].final_state));
   value.append(job.tasks[task].answer);
   return {.key = TaskKey(kEndPrefix, job, task),
           .kind = "end",
@@ -223,7 +223,7 @@
 namespace {
 
 // A finished job's tasks without a recorded end were cancelled.
-void CloseUnended(Job& job) {
+void CancelUnfinishedTasks(Job& job) {
   for (Task& it : job.tasks) {
     if (it.state == TaskState::kQueued) {
       it.state = TaskState::kCancelled;
@@ -265,12 +265,12 @@
   for (const std::string& it : ids) {
     Job& job = jobs.jobs.at(it);
     if (job.finished) {
-      CloseUnended(job);
+      CancelUnfinishedTasks(job);
       context.After(kFinishedJobRetention, TimerKind::kForgetJob, it);
     } else {
-      OrphanUnended(context, job);
+      OrphanUnfinishedTasks(context, job);
       job.recovering = true;
-      job.went = true;
+      job.go_sent = true;
       ++unfinished;
       FinishIfDone(context, job);
     }
--- a/Source/scheduler/job_status.cc
+++ b/Source/scheduler/job_status.cc
@@ -79,7 +79,7 @@
   switch (task.state) {
     case TaskState::kQueued:
       --job.queued;
-      --context.state().jobs.waiting;
+      --context.state().jobs.queued_tasks;
       task.state = TaskState::kCancelled;
       --job.open;
       break;
--- a/Source/scheduler/jobs.cc
+++ b/Source/scheduler/jobs.cc
@@ -15,11 +15,11 @@
 
 void ChargeTeam(Context& context, Job& job, std::uint32_t index) {
   --job.queued;
-  --context.state().jobs.waiting;
+  --context.state().jobs.queued_tasks;
   Task& task = job.tasks[index];
   task.tries = static_cast<std::uint8_t>(std::min(task.tries + 1, 255));
   task.state = TaskState::kStarting;
-  task.offered = context.now();
+  task.last_sent = context.now();
   context.state().jobs.team_usage[job.spec.team] += job.spec.resources;
 }
 
@@ -70,7 +70,7 @@
     --task.tries;  // it did not run
   }
   ++job.queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job.next_queued = std::min(job.next_queued, index);
   QueueJob(context, job);
 }
@@ -106,7 +106,7 @@
   for (const ReplyId it : job->cancel_replies) {
     context.Answer(it, WorkAnswer{.id = id, .verdict = lost});
   }
-  state.jobs.waiting -= job->queued;
+  state.jobs.queued_tasks -= job->queued;
   for (std::uint32_t it = 0; it < job->tasks.size(); ++it) {
     CreditTeam(context, *job, it);
   }
--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -43,12 +43,13 @@
 
 struct Task {
   TaskState state = TaskState::kQueued;
-  TaskState end = TaskState::kDone;  // what it becomes when kEnding is over
+  TaskState final_state =
+      TaskState::kDone;  // what it becomes when kEnding is over
   std::uint8_t tries = 0;
   bool dispatched = false;  // of a non-idempotent job: it may have run
   std::uint64_t attempt = 0;
   std::uint64_t offer_sequence = 0;
-  Time offered{0};
+  Time last_sent{0};
   std::string worker;  // where it is, when known
   std::string owner;   // the member that owns the worker
   std::string answer;  // of an ended task, cut at kMaxAnswerBytes
@@ -90,7 +91,7 @@
   std::set<std::string> failed_on;  // workers; at most a few
   // Of a gang.
   bool gang_running = false;  // all were held and told to go
-  bool went = false;          // some task may have been told to go, ever
+  bool go_sent = false;       // some task may have been told to go, ever
   bool recovering = false;    // adopted, and its attempts are looked for
   Time hold_until{0};         // while it is being assembled
   Time retry_at{0};
@@ -112,7 +113,7 @@
   ReplyId reply = 0;
   std::string id;
   bool cancel = false;
-  Time until{0};
+  Time deadline{0};
 };
 
 struct Jobs {
@@ -124,7 +125,7 @@
   // Journals that a live process made and does not list, and since when.
   std::map<std::string, Time> unlisted;
   std::map<std::string, Resources> team_usage;
-  std::int64_t waiting = 0;  // tasks queued, of all jobs
+  std::int64_t queued_tasks = 0;  // of all jobs
   // Journals' generations below which offers are refused.
   std::map<std::string, std::uint64_t> fences;
   // Attempts whose worker was taken from this process while they ran; value:
@@ -133,7 +134,7 @@
   // Stops that came before their offers; value: when to forget.
   std::map<AttemptId, Time> stopped_early;
   std::uint64_t next_query = 1;
-  std::map<std::uint64_t, ForwardedQuery> asks;
+  std::map<std::uint64_t, ForwardedQuery> forwarded_queries;
 };
 
 Job* FindJob(Context& context, const std::string& id);
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -21,7 +21,7 @@
 constexpr Duration kLedgerTimeout = std::chrono::seconds(3);
 constexpr Duration kScanTimeout = std::chrono::seconds(10);
 constexpr Duration kScanInterval = std::chrono::seconds(60);
-constexpr Duration kUnlistedPatience = std::chrono::seconds(3);
+constexpr Duration kUnlistedTimeout = std::chrono::seconds(3);
 constexpr Duration kScanRetry = std::chrono::seconds(2);
 constexpr Duration kEmptyJournalCheck = std::chrono::seconds(30);
 // Between two adopters' generations; a writer itself raises its generation by
@@ -44,7 +44,7 @@
 }
 
 // The adopted journal is this process's now: its jobs go on.
-void BeginAdopted(Context& context, const std::string& name) {
+void StartAdoptedJournal(Context& context, const std::string& name) {
   State& state = context.state();
   Journal& journal = state.jobs.journals.at(name);
   if (journal.ready) {
@@ -76,7 +76,7 @@
     OnClaimAppended(context, claim->id, outcome);
   } else if (const auto* own = std::get_if<GenerationAppend>(&purpose)) {
     if (outcome == AppendOutcome::kCommitted) {
-      BeginAdopted(context, own->log);
+      StartAdoptedJournal(context, own->log);
     }
   } else if (const auto* check = std::get_if<CheckAppend>(&purpose)) {
     if (outcome == AppendOutcome::kCommitted) {
@@ -116,12 +116,12 @@
 
 // The process that made the journal, "INSTANCE" and "INCARNATION"; the name
 // ends "INCARNATION-NUMBER".
-struct JournalMaker {
+struct JournalCreator {
   std::string instance;
   std::string incarnation;
 };
 
-JournalMaker MakerOf(const std::string& name, const std::string& domain) {
+JournalCreator CreatorOf(const std::string& name, const std::string& domain) {
   const std::size_t start = sizeof(kJournalPrefix) - 1 + domain.size() + 1;
   const std::size_t split = name.rfind('.');
   if (split == std::string::npos || split < start) {
@@ -143,20 +143,20 @@
   }
   // The maker lists its journal in its digest, unless it was made just now or
   // another process has taken it over and died since.
-  const JournalMaker maker = MakerOf(name, state.self.domain);
-  const auto it = state.membership.peers.find(maker.instance);
-  const bool maker_lives = it != state.membership.peers.end() &&
-                           it->second.alive &&
-                           it->second.incarnation == maker.incarnation;
-  if (!maker_lives) {
+  const JournalCreator creator = CreatorOf(name, state.self.domain);
+  const auto it = state.membership.peers.find(creator.instance);
+  const bool creator_is_alive = it != state.membership.peers.end() &&
+                                it->second.alive &&
+                                it->second.incarnation == creator.incarnation;
+  if (!creator_is_alive) {
     return false;
   }
   const auto [since, inserted] =
       state.jobs.unlisted.emplace(name, context.now());
   if (inserted) {
-    context.After(kUnlistedPatience, TimerKind::kOrphanScan);
+    context.After(kUnlistedTimeout, TimerKind::kOrphanScan);
   }
-  return context.now() - since->second < kUnlistedPatience;
+  return context.now() - since->second < kUnlistedTimeout;
 }
 
 bool IsChosenAdopter(Context& context, const std::string& name) {
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -56,7 +56,7 @@
          .waiting = static_cast<std::int64_t>(waiting)});
   }
   digest.free = state.placement.total_free();
-  digest.waiting_tasks = state.jobs.waiting;
+  digest.waiting_tasks = state.jobs.queued_tasks;
   digest.owned = state.ownership.owned;
   digest.config_revision = state.config.view.revision;
   digest.instances_revision = state.membership.instances.revision;
@@ -270,18 +270,18 @@
     ReviewOwnership(context);
   }
   const bool is_behind =
-      digest.config_revision > state.config.seen ||
+      digest.config_revision > state.config.latest_revision ||
       digest.instances_revision > state.membership.instances.revision;
   if (is_behind && context.now() - peer.pulled_at >= kPullInterval) {
     peer.pulled_at = context.now();
     context.Send(said.from,
-                 PullDocuments{.config_revision = state.config.seen,
+                 PullDocuments{.config_revision = state.config.latest_revision,
                                .instances_revision =
                                    state.membership.instances.revision});
   }
   PumpRequests(context);
-  if (state.jobs.waiting > 0) {
-    state.tasks.wanted = true;
+  if (state.jobs.queued_tasks > 0) {
+    state.tasks.pass_needed = true;
   }
 }
 
--- a/Source/scheduler/ownership.cc
+++ b/Source/scheduler/ownership.cc
@@ -203,7 +203,7 @@
   const bool was_open = context.state().placement.open(*worker.index);
   context.state().placement.SetOpen(*worker.index, is_open);
   if (is_open && !was_open) {
-    context.state().tasks.wanted = true;
+    context.state().tasks.pass_needed = true;
   }
 }
 
@@ -236,7 +236,7 @@
   }
   if (it->second.holds_room && worker.index) {
     context.state().placement.Give(*worker.index, it->second.resources);
-    context.state().tasks.wanted = true;
+    context.state().tasks.pass_needed = true;
   }
   context.state().ownership.holders.erase(attempt);
   worker.bookings.erase(it);
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -53,7 +53,7 @@
     TimerRow{TimerKind::kJobDeadline, OnJobDeadline},
     TimerRow{TimerKind::kSchedule,
              [](Context& context, const std::string&) {
-               context.state().tasks.wanted = true;
+               context.state().tasks.pass_needed = true;
              }},
     TimerRow{
         TimerKind::kDrain,
@@ -273,7 +273,7 @@
   Context context(state, event.now, effects);
   *state.wall_ms = state.self.wall_start_ms + ToMilliseconds(event.now);
   std::visit(EventHandler{.context = context}, event.body);
-  if (state.tasks.wanted) {
+  if (state.tasks.pass_needed) {
     PlaceTasks(context);
   }
   DropDeadLogs(state);
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Duration kOfferRepeat = std::chrono::seconds(1);
-constexpr Duration kEndRepeat = std::chrono::seconds(1);
-constexpr Duration kStoppedEarlyKept = std::chrono::seconds(60);
-constexpr Duration kMovedKept = std::chrono::minutes(10);
+constexpr Duration kOfferRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEndRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEarlyStopRetention = std::chrono::seconds(60);
+constexpr Duration kMovedRetention = std::chrono::minutes(10);
 // The reason of a refusal that says: it may run, but not under this owner.
 constexpr char kMoved[] = "moved";
 // It is not here, and an offer that is still on its way will be refused.
@@ -65,7 +65,7 @@
     const Task& task = job.tasks[it];
     const bool waits = task.state == TaskState::kStarting &&
                        !task.owner.empty() && task.owner != context.self() &&
-                       context.now() - task.offered >= kOfferRepeat;
+                       context.now() - task.last_sent >= kOfferRepeatInterval;
     if (waits) {
       OfferTask(context, job, it, task.owner, job.spec.kind == JobKind::kGang);
     }
@@ -76,7 +76,7 @@
 void RepeatStops(Context& context, Job& job) {
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     const Task& task = job.tasks[it];
-    if (context.now() - task.offered < kOfferRepeat) {
+    if (context.now() - task.last_sent < kOfferRepeatInterval) {
       continue;
     }
     if (task.state == TaskState::kStopping) {
@@ -128,7 +128,7 @@
   Task& task = job.tasks[index];
   task.owner = peer;
   task.worker.clear();
-  task.offered = context.now();
+  task.last_sent = context.now();
   task.offer_sequence = ++target.offer_sequence;
   target.lent_room += job.spec.resources;
   context.Send(
@@ -233,7 +233,7 @@
     }
     return;
   }
-  context.state().jobs.moved[booking.attempt] = context.now() + kMovedKept;
+  context.state().jobs.moved[booking.attempt] = context.now() + kMovedRetention;
   Refuse(context, booking.offered_by, booking.offer_sequence, booking.attempt,
          kMoved);
 }
@@ -283,7 +283,7 @@
   Booking& booking = worker.bookings.at(report.attempt);
   if (booking.holds_room && worker.index) {
     context.state().placement.Give(*worker.index, booking.resources);
-    context.state().tasks.wanted = true;
+    context.state().tasks.pass_needed = true;
   }
   booking.holds_room = false;
   booking.uncertain = false;
@@ -388,7 +388,7 @@
     return;
   }
   // The offer may still be on its way.
-  jobs.stopped_early[attempt] = context.now() + kStoppedEarlyKept;
+  jobs.stopped_early[attempt] = context.now() + kEarlyStopRetention;
   Refuse(context, from, 0, attempt, kStopped);
 }
 
@@ -396,7 +396,7 @@
   Task& task = job.tasks[index];
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   task.state = TaskState::kStopping;
-  task.offered = context.now();
+  task.last_sent = context.now();
   if (task.owner == context.self() &&
       FindBooking(context, attempt) != nullptr) {
     OnTaskStop(context, context.self(), attempt);
@@ -411,7 +411,7 @@
 
 void GoAttempt(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  task.offered = context.now();
+  task.last_sent = context.now();
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   if (task.owner.empty() || task.owner == context.self()) {
     OnTaskGo(context, attempt);
@@ -429,14 +429,14 @@
     }
   }
   for (auto& [id, worker] : state.ownership.workers) {
-    std::vector<AttemptId> untold;
+    std::vector<AttemptId> unacknowledged;
     for (const auto& [attempt, booking] : worker.bookings) {
       if (booking.state == AttemptState::kEnded &&
-          context.now() - booking.told >= kEndRepeat) {
-        untold.push_back(attempt);
+          context.now() - booking.told >= kEndRepeatInterval) {
+        unacknowledged.push_back(attempt);
       }
     }
-    for (const AttemptId& it : untold) {
+    for (const AttemptId& it : unacknowledged) {
       const auto booking = worker.bookings.find(it);
       if (booking != worker.bookings.end()) {
         ReportToWriter(context, worker, booking->second);
@@ -449,7 +449,7 @@
                 [&](const auto& it) { return it.second < context.now(); });
   ForgetOldForwards(context);
   ExpireForwardedQueries(context);
-  context.After(kOfferRepeat, TimerKind::kOffers);
+  context.After(kOfferRepeatInterval, TimerKind::kOffers);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -129,30 +129,31 @@
   return true;
 }
 
-enum class Tried { kStarted, kBlocked, kNothingLeft };
+enum class TryResult { kStarted, kBlocked, kNothingLeft };
 
-Tried TryJob(Context& context, Pass& pass, Job& job) {
+TryResult TryJob(Context& context, Pass& pass, Job& job) {
   if (job.cancelled || job.finished || job.queued == 0) {
-    return Tried::kNothingLeft;
+    return TryResult::kNothingLeft;
   }
   if (context.now() < job.retry_at || !WithinQuota(context, job)) {
-    return Tried::kBlocked;
+    return TryResult::kBlocked;
   }
   if (job.spec.kind == JobKind::kGang) {
-    return AssembleGang(context, job) ? Tried::kNothingLeft : Tried::kBlocked;
+    return AssembleGang(context, job) ? TryResult::kNothingLeft
+                                      : TryResult::kBlocked;
   }
   const auto index = NextTask(job);
   if (!index) {
-    return Tried::kNothingLeft;
+    return TryResult::kNothingLeft;
   }
   if (IsKnownMisfit(pass, job.spec.resources)) {
-    return Tried::kBlocked;
+    return TryResult::kBlocked;
   }
   if (PlaceTask(context, job, *index)) {
-    return job.queued == 0 ? Tried::kNothingLeft : Tried::kStarted;
+    return job.queued == 0 ? TryResult::kNothingLeft : TryResult::kStarted;
   }
   pass.misfits.push_back(job.spec.resources);
-  return Tried::kBlocked;
+  return TryResult::kBlocked;
 }
 
 // Tries the jobs of a class until one task is started. False when none can.
@@ -168,19 +169,19 @@
       continue;
     }
     Job* job = FindJob(context, jobs[cursor]);
-    const Tried tried =
-        job == nullptr ? Tried::kNothingLeft : TryJob(context, pass, *job);
-    if (tried == Tried::kNothingLeft) {
+    const TryResult result =
+        job == nullptr ? TryResult::kNothingLeft : TryJob(context, pass, *job);
+    if (result == TryResult::kNothingLeft) {
       if (job != nullptr) {
         job->in_queue = false;
       }
       jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(cursor));
-    } else if (tried == Tried::kBlocked) {
+    } else if (result == TryResult::kBlocked) {
       ++cursor;
       ++pass.blocked;
     }
     teams.insert({.usage = UsageOf(context, first.team), .team = first.team});
-    if (tried == Tried::kStarted) {
+    if (result == TryResult::kStarted) {
       return true;
     }
   }
@@ -229,7 +230,7 @@
 
 void RecordDispatch(Context& context, Job& job, std::uint32_t index) {
   --job.queued;
-  --context.state().jobs.waiting;
+  --context.state().jobs.queued_tasks;
   job.tasks[index].state = TaskState::kDispatching;
   AppendTo(context, job.log, RecordOfDispatch(job, index), {.urgent = true},
            DispatchAppend{.job = job.id, .task = index});
@@ -237,7 +238,7 @@
 
 void QueueJob(Context& context, Job& job) {
   State& state = context.state();
-  state.tasks.wanted = true;
+  state.tasks.pass_needed = true;
   if (job.in_queue) {
     return;
   }
@@ -248,8 +249,9 @@
 
 void PlaceTasks(Context& context) {
   State& state = context.state();
-  state.tasks.wanted = false;
-  if (state.jobs.waiting == 0 || state.drain.draining || !IsServing(context)) {
+  state.tasks.pass_needed = false;
+  if (state.jobs.queued_tasks == 0 || state.drain.draining ||
+      !IsServing(context)) {
     return;
   }
   Pass pass;
--- a/Source/scheduler/tasks.h
+++ b/Source/scheduler/tasks.h
@@ -27,7 +27,7 @@
   using Teams = std::map<std::string, std::deque<std::string>>;
   std::array<Teams, kUrgencyCount> classes;
   std::array<std::uint64_t, kUrgencyCount> picks{};
-  bool wanted = false;  // a pass is to be made at the end of this step
+  bool pass_needed = false;  // a pass is to be made at the end of this step
 };
 
 // A job has waiting tasks.
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -39,10 +39,11 @@
                const std::string& writer) {
   Jobs& jobs = context.state().jobs;
   const std::uint64_t ask = jobs.next_query++;
-  jobs.asks.emplace(ask, ForwardedQuery{.reply = asked.reply,
-                                        .id = asked.id,
-                                        .cancel = asked.cancel,
-                                        .until = context.now() + kAskPatience});
+  jobs.forwarded_queries.emplace(
+      ask, ForwardedQuery{.reply = asked.reply,
+                          .id = asked.id,
+                          .cancel = asked.cancel,
+                          .deadline = context.now() + kAskPatience});
   context.Send(writer,
                AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
 }
@@ -105,9 +106,10 @@
 // ask again instead of nothing. A cancel may have been taken.
 void ExpireForwardedQueries(Context& context) {
   Jobs& jobs = context.state().jobs;
-  for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
+  for (auto it = jobs.forwarded_queries.begin();
+       it != jobs.forwarded_queries.end();) {
     const ForwardedQuery& ask = it->second;
-    if (context.now() < ask.until) {
+    if (context.now() < ask.deadline) {
       ++it;
       continue;
     }
@@ -123,18 +125,18 @@
                                "answer; cancel again"};
     }
     context.Answer(ask.reply, WorkAnswer{.id = ask.id, .verdict = verdict});
-    it = jobs.asks.erase(it);
+    it = jobs.forwarded_queries.erase(it);
   }
 }
 
 void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer) {
   Jobs& jobs = context.state().jobs;
-  const auto it = jobs.asks.find(answer.ask);
-  if (it == jobs.asks.end()) {
+  const auto it = jobs.forwarded_queries.find(answer.ask);
+  if (it == jobs.forwarded_queries.end()) {
     return;  // doubled
   }
   const ForwardedQuery ask = it->second;
-  jobs.asks.erase(it);
+  jobs.forwarded_queries.erase(it);
   if (!answer.found && !answer.writes) {
     // The journal has just moved to another writer, which may have the job.
     AnswerWriterUnknown(context, ask.reply, ask.id);
--- a/Tests/bench/decision_bench.cc
+++ b/Tests/bench/decision_bench.cc
@@ -113,14 +113,14 @@
   Sample passes;
   double total_us = 0;
   std::uint64_t starts = 0;
-  while (state.jobs.waiting > 0) {
-    const std::int64_t waiting = state.jobs.waiting;
+  while (state.jobs.queued_tasks > 0) {
+    const std::int64_t waiting = state.jobs.queued_tasks;
     state.tasks.wanted = true;
     Sample pass;
     // Answers no call, so that only the pass itself takes time.
     entry.Step(PlatformAnswered{}, pass);
     const auto placed =
-        static_cast<std::uint64_t>(waiting - state.jobs.waiting);
+        static_cast<std::uint64_t>(waiting - state.jobs.queued_tasks);
     if (placed == 0) {
       break;
     }
--- a/Tests/bench/forwarding_bench.cc
+++ b/Tests/bench/forwarding_bench.cc
@@ -91,8 +91,8 @@
               const Checks& checks) {
   EntryGroupOptions options = LanyuOptions();
   options.policy = PolicyOf(condition, checks);
-  options.lose = condition.lose;
-  options.hold_back = condition.hold_back;
+  options.loss_probability = condition.lose;
+  options.delay_probability = condition.hold_back;
   const auto group = MakeLanyu(options);
   const TrafficOptions traffic{.per_second = condition.per_second,
                                .span = kSpan,
--- a/Tests/bench/recovery_bench.cc
+++ b/Tests/bench/recovery_bench.cc
@@ -197,7 +197,7 @@
       ++accepted;
       // A caller may ask any entry instance.
       cancels.push_back(
-          group->Ask(entries[(it + 1) % entries.size()], job, true));
+          group->QueryWork(entries[(it + 1) % entries.size()], job, true));
     }
   }
   std::size_t answered = 0;
--- a/Tests/scheduler/claim_failure_test.cc
+++ b/Tests/scheduler/claim_failure_test.cc
@@ -236,8 +236,8 @@
                       .workers = 1,
                       .minions = 1,
                       .seed = seed,
-                      .repeat = 1,
-                      .hold_back = 1});
+                      .duplication_probability = 1,
+                      .delay_probability = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
     for (int it = 0; it < 8; ++it) {
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -202,9 +202,9 @@
   REQUIRE(RunUntilAnswered(group, inside));
   const Revision stored = StoredAs(group, outside);
   REQUIRE(stored > 0);
-  const auto told = group.VerdictOf(inside);
-  REQUIRE(told);
-  CHECK(!std::holds_alternative<Accepted>(*told));
+  const auto verdict = group.VerdictOf(inside);
+  REQUIRE(verdict);
+  CHECK(!std::holds_alternative<Accepted>(*verdict));
   CHECK(RevisionAt(group, "d1-e0") == before);
   group.CutDomain(1, false);
   CHECK(RunUntilInForce(group, stored));
--- a/Tests/scheduler/entry_group.cc
+++ b/Tests/scheduler/entry_group.cc
@@ -342,9 +342,9 @@
   return reply;
 }
 
-ReplyId EntryGroup::Ask(const std::string& entry,
-                        const std::string& id,
-                        bool cancel) {
+ReplyId EntryGroup::QueryWork(const std::string& entry,
+                              const std::string& id,
+                              bool cancel) {
   const ReplyId reply = next_reply_++;
   Deliver(entry, entries_.at(entry).incarnation,
           WorkAsked{.reply = reply, .id = id, .cancel = cancel});
--- a/Tests/scheduler/entry_group.h
+++ b/Tests/scheduler/entry_group.h
@@ -41,9 +41,9 @@
   Duration platform_delay = std::chrono::milliseconds(2);
   Duration list_lag = std::chrono::seconds(1);
   // Each peer message is lost, doubled or held back with these chances.
-  double lose = 0;
-  double repeat = 0;
-  double hold_back = 0;
+  double loss_probability = 0;
+  double duplication_probability = 0;
+  double delay_probability = 0;
   // Members that replace or add to the base policy, as JSON text.
   std::string policy = "{}";
 };
@@ -98,7 +98,9 @@
 
   ReplyId Submit(const std::string& entry, Request request);
   ReplyId Submit(const std::string& entry, JobSpec spec);
-  ReplyId Ask(const std::string& entry, const std::string& id, bool cancel);
+  ReplyId QueryWork(const std::string& entry,
+                    const std::string& id,
+                    bool cancel);
   ReplyId PutConfig(const std::string& entry,
                     Revision expect,
                     const std::string& document);
--- a/Tests/scheduler/entry_group_edges.cc
+++ b/Tests/scheduler/entry_group_edges.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kLongestHold = std::chrono::milliseconds(400);
+constexpr Duration kMaxExtraDelay = std::chrono::milliseconds(400);
 constexpr Duration kRefusedDelay = std::chrono::microseconds(300);
 }  // namespace
 
@@ -67,15 +67,15 @@
     return;
   }
   for (auto it = watches_.begin(); it != watches_.end();) {
-    auto news = platform_.TryWatch(it->operation);
-    if (!news && now_ >= it->until) {
-      news = platform_.EmptyAnswer(it->operation);
+    auto update = platform_.TryWatch(it->operation);
+    if (!update && now_ >= it->until) {
+      update = platform_.EmptyAnswer(it->operation);
     }
-    if (!news) {
+    if (!update) {
       ++it;
       continue;
     }
-    AnswerPlatform(it->entry, it->incarnation, it->call, *std::move(news));
+    AnswerPlatform(it->entry, it->incarnation, it->call, *std::move(update));
     it = watches_.erase(it);
   }
   const Time next = platform_.NextEventTime();
@@ -212,15 +212,15 @@
     return;
   }
   std::uniform_real_distribution<double> chance(0, 1);
-  if (chance(random_) < options_.lose) {
+  if (chance(random_) < options_.loss_probability) {
     return;
   }
-  const int copies = chance(random_) < options_.repeat ? 2 : 1;
+  const int copies = chance(random_) < options_.duplication_probability ? 2 : 1;
   for (int it = 0; it < copies; ++it) {
     Duration delay = options_.peer_delay;
-    if (chance(random_) < options_.hold_back) {
+    if (chance(random_) < options_.delay_probability) {
       delay += Duration(static_cast<Duration::rep>(
-          chance(random_) * static_cast<double>(kLongestHold.count())));
+          chance(random_) * static_cast<double>(kMaxExtraDelay.count())));
     }
     const std::uint64_t to = target->second.incarnation;
     After(delay, [this, from, incarnation, to, send, domain = entry.domain] {
--- a/Tests/scheduler/job_failure_test.cc
+++ b/Tests/scheduler/job_failure_test.cc
@@ -206,7 +206,7 @@
 // Peer messages overtake each other.
 // Cause: a stop that comes before its start stops nothing.
 TEST_CASE("a wave of cancels during a drain leaves nothing running") {
-  EntryGroup group({.entries = {3}, .workers = 6, .hold_back = 0.3});
+  EntryGroup group({.entries = {3}, .workers = 6, .delay_probability = 0.3});
   REQUIRE(Settle(group));
   std::vector<std::string> jobs;
   jobs.push_back(AcceptJob(group, "d0-e0", LongJob(JobKind::kBatch, 30)));
@@ -231,7 +231,7 @@
   }
   std::map<std::string, ReplyId> cancels;
   for (const std::string& it : jobs) {
-    cancels[it] = group.Ask("d0-e0", it, true);
+    cancels[it] = group.QueryWork("d0-e0", it, true);
     if (cancels.size() == jobs.size() / 2) {
       group.Drain("d0-e2");
     }
@@ -245,7 +245,7 @@
       return answer != nullptr && IsCancelled(*answer);
     });
     for (auto& [job, reply] : cancels) {
-      reply = group.Ask("d0-e0", job, true);
+      reply = group.QueryWork("d0-e0", job, true);
     }
   }
   CHECK(cancels.empty());
@@ -413,9 +413,9 @@
   REQUIRE(Settle(group));
   const std::string job =
       AcceptJob(group, "d0-e0", LongJob(JobKind::kBatch, 2));
-  const ReplyId first = group.Ask("d0-e0", job, true);
+  const ReplyId first = group.QueryWork("d0-e0", job, true);
   group.Run(std::chrono::milliseconds(20));
-  const ReplyId second = group.Ask("d0-e0", job, true);
+  const ReplyId second = group.QueryWork("d0-e0", job, true);
   CHECK(group.AnswerTo(first) == nullptr);
   CHECK(group.AnswerTo(second) == nullptr);
   group.Run(seconds(2));
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -150,7 +150,7 @@
     for (int it = 0; it < 200; ++it) {
       for (const std::string& entry : group.entries()) {
         if (group.IsUp(entry)) {
-          asked.push_back(group.Ask(entry, id, cancel));
+          asked.push_back(group.QueryWork(entry, id, cancel));
         }
       }
       group.Run(milliseconds(5));
@@ -242,7 +242,8 @@
   std::vector<ReplyId> cancels;
   for (std::size_t it = 0; it < replies.size(); it += 2) {
     REQUIRE(group.VerdictOf(replies[it]) == Verdict(Accepted{}));
-    cancels.push_back(group.Ask("d0-e0", group.JobIdOf(replies[it]), true));
+    cancels.push_back(
+        group.QueryWork("d0-e0", group.JobIdOf(replies[it]), true));
     if (it == 14) {
       group.Drain("d0-e0");
     }
--- a/Tests/scheduler/path_test.cc
+++ b/Tests/scheduler/path_test.cc
@@ -78,7 +78,7 @@
   const std::string job = group.JobIdOf(reply);
   REQUIRE(group.StatusOf(job));
   CHECK(group.StatusOf(job)->running == 3);
-  const ReplyId cancel = group.Ask("d0-e1", job, true);
+  const ReplyId cancel = group.QueryWork("d0-e1", job, true);
   group.Run(seconds(2));
   const CallerAnswer* answer = group.AnswerTo(cancel);
   REQUIRE(answer != nullptr);
--- a/Tests/scheduler/property_test.cc
+++ b/Tests/scheduler/property_test.cc
@@ -34,9 +34,9 @@
                 .workers = 4,
                 .minions = 2,
                 .seed = seed,
-                .lose = 0.02,
-                .repeat = 0.03,
-                .hold_back = 0.05}) {}
+                .loss_probability = 0.02,
+                .duplication_probability = 0.03,
+                .delay_probability = 0.05}) {}
 
   void Run() {
     Settle(group_);
@@ -114,7 +114,7 @@
     }
     const std::string id = group_.JobIdOf(jobs_[Pick(jobs_.size())]);
     if (!id.empty()) {
-      group_.Ask(entry, id, true);
+      group_.QueryWork(entry, id, true);
     }
   }
 
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -76,8 +76,8 @@
                       .workers = 1,
                       .minions = 1,
                       .seed = seed,
-                      .repeat = 1,
-                      .hold_back = 1});
+                      .duplication_probability = 1,
+                      .delay_probability = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
     Asked asked(group);
@@ -245,7 +245,7 @@
     }
     group.Run(milliseconds(200));
     for (int it = 0; it < 4; ++it) {
-      group.Ask("d0-e0", NameOf("cancelled", it), true);
+      group.QueryWork("d0-e0", NameOf("cancelled", it), true);
     }
     group.Run(milliseconds(400));
     asked.SubmitMany("d0-e0", "last", 4, 10);
