--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_updates.cc
@@ -1,4 +1,4 @@
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 
 #include <algorithm>
 
--- a/Source/scheduler/attempt_news.h
+++ b/Source/scheduler/attempt_updates.h
@@ -1,6 +1,6 @@
 // What becomes of attempts, as the writer of their job's journal hears it.
-#ifndef BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
-#define BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
+#ifndef BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
+#define BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
 
 #include <cstdint>
 #include <string>
@@ -50,4 +50,4 @@
 
 }  // namespace burdockrock
 
-#endif  // BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
+#endif  // BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/forwarding.h"
 
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -9,7 +9,7 @@
 #include <json/value.h>
 
 #include "net/json.h"
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "wire/record_codec.h"
 
--- a/Source/scheduler/job_status.cc
+++ b/Source/scheduler/job_status.cc
@@ -3,7 +3,7 @@
 #include <optional>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 
 namespace burdockrock {
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/job_admission.h"
 #include "scheduler/job_records.h"
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/journal_check.h"
 #include "scheduler/request_admission.h"
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/gangs.h"
 #include "scheduler/job_admission.h"
--- a/Source/scheduler/worker_answers.cc
+++ b/Source/scheduler/worker_answers.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/journal_check.h"
 #include "scheduler/request_runs.h"
