--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_updates.cc
@@ -1,4 +1,4 @@
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 
 #include <algorithm>
 
@@ -22,12 +22,12 @@
 // Requeues the task after a backoff.
 void RetryLater(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   task.state = TaskState::kQueued;
   task.worker.clear();
   task.owner.clear();
   ++job.queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job.next_queued = std::min(job.next_queued, index);
   ++context.state().counters.retries;
   context.After(RetryDelay(context, task), TimerKind::kRetryTask, job.id);
@@ -55,7 +55,7 @@
     RetryLater(context, job, index);
     return;
   }
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   EndTask(context, job, index, TaskState::kFailed);
 }
 
@@ -66,10 +66,10 @@
   const bool was_queued = task.state == TaskState::kQueued;
   if (was_queued) {
     --job.queued;
-    --context.state().jobs.waiting;
+    --context.state().jobs.queued_tasks;
   }
   task.state = TaskState::kEnding;
-  task.end = end;
+  task.final_state = end;
   AppendTo(context, job.log, RecordOfEnd(job, index), {},
            EndAppend{.job = job.id, .task = index});
 }
@@ -86,7 +86,7 @@
   task.dispatched = outcome == AppendOutcome::kCommitted;
   task.state = TaskState::kQueued;
   ++job->queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job->next_queued = std::min(job->next_queued, index);
   QueueJob(context, *job);
 }
@@ -98,7 +98,8 @@
                       const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt > attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt > attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (held && task->state == TaskState::kRunning) {
@@ -109,7 +110,7 @@
   task->worker = worker;
   task->owner = owner;
   const bool is_stray = job->spec.kind == JobKind::kGang &&
-                        !job->gang_running && !job->settling &&
+                        !job->gang_running && !job->recovering &&
                         job->hold_until == Time(0);
   if (job->cancelled || is_stray || task->state == TaskState::kStopping) {
     task->state = TaskState::kRunning;
@@ -135,11 +136,12 @@
                          const std::string& why) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt != attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt != attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (job->cancelled) {
-    NoteReturned(context, *job, attempt.task);
+    CreditTeam(context, *job, attempt.task);
     task->state = TaskState::kCancelled;
     --job->open;
     FinishIfDone(context, *job);
@@ -157,8 +159,8 @@
                     const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, report.attempt, &task);
-  const bool is_current =
-      job != nullptr && IsOut(*task) && task->attempt <= report.attempt.number;
+  const bool is_current = job != nullptr && IsOutstanding(*task) &&
+                          task->attempt <= report.attempt.number;
   if (!is_current) {
     const bool is_ending = job != nullptr && task->state == TaskState::kEnding;
     if (!is_ending) {
@@ -177,16 +179,16 @@
         RetryLater(context, *job, index);
         break;
       }
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
-      NoteReturned(context, *job, index);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
+      CreditTeam(context, *job, index);
       EndTask(context, *job, index, TaskState::kDone);
-      if (is_gang && !job->gang_running && !job->settling) {
+      if (is_gang && !job->gang_running && !job->recovering) {
         BackOffGang(context, *job,
                     "a task ended while others were being stopped");
       }
       return;  // acknowledged when it is recorded
     case Outcome::kFailed:
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
       OnTaskFailed(context, *job, index, worker);
       if (task->state == TaskState::kEnding) {
         if (is_gang) {
@@ -196,7 +198,7 @@
       }
       break;
     case Outcome::kStopped:
-      NoteReturned(context, *job, index);
+      CreditTeam(context, *job, index);
       if (job->judged_failed) {
         EndTask(context, *job, index, TaskState::kFailed);
         return;
@@ -223,7 +225,7 @@
 
 void OrphanTask(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  if (!IsOut(task)) {
+  if (!IsOutstanding(task)) {
     return;
   }
   task.state = TaskState::kOrphaned;
@@ -242,24 +244,24 @@
 void OnAttemptLost(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   if (job.cancelled) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     task.state = TaskState::kCancelled;
     --job.open;
     FinishIfDone(context, job);
     return;
   }
   if (job.judged_failed) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kFailed);
     return;
   }
   const bool is_gang = job.spec.kind == JobKind::kGang;
   // Before the go was sent, the tasks of a gang were held and did not run.
-  const bool may_have_run = task.dispatched && (!is_gang || job.went);
+  const bool may_have_run = task.dispatched && (!is_gang || job.go_sent);
   if (!job.spec.idempotent && may_have_run) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kMayHaveRun);
-    if (is_gang && !job.settling) {
+    if (is_gang && !job.recovering) {
       BackOffGang(context, job, "attempt lost");
     }
     return;
@@ -267,7 +269,7 @@
   context.Log(EventNumber::kAttemptRestarted,
               {{"job", job.id}, {"task", std::to_string(index)}});
   RetryLater(context, job, index);
-  if (is_gang && !job.settling) {
+  if (is_gang && !job.recovering) {
     BackOffGang(context, job, "attempt lost");
   }
 }
@@ -281,7 +283,7 @@
     return;  // fenced: the journal's new writer takes over
   }
   Task& task = job->tasks[index];
-  task.state = task.end;
+  task.state = task.final_state;
   --job->open;
   AcknowledgeEnd(context, {.job = id, .task = index, .number = task.attempt},
                  task.owner);
--- a/Source/scheduler/attempt_news.h
+++ b/Source/scheduler/attempt_updates.h
@@ -1,6 +1,6 @@
 // Handles updates of attempts at the writer of their job's journal.
-#ifndef BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
-#define BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
+#ifndef BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
+#define BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
 
 #include <cstdint>
 #include <string>
@@ -55,4 +55,4 @@
 
 }  // namespace burdockrock
 
-#endif  // BURDOCKROCK_SCHEDULER_ATTEMPT_NEWS_H_
+#endif  // BURDOCKROCK_SCHEDULER_ATTEMPT_UPDATES_H_
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -13,10 +13,10 @@
 
 constexpr char kConfigPrefix[] = "config/";
 constexpr Duration kWatchWait = std::chrono::seconds(20);
-constexpr Duration kWatchGrace = std::chrono::seconds(3);
+constexpr Duration kWatchTimeoutMargin = std::chrono::seconds(3);
 constexpr Duration kWriteTimeout = std::chrono::seconds(3);
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(200);
-constexpr Duration kLastBackoff = std::chrono::seconds(5);
+constexpr Duration kMinBackoff = std::chrono::milliseconds(200);
+constexpr Duration kMaxBackoff = std::chrono::seconds(5);
 constexpr Duration kPlatformRetryAfter = std::chrono::seconds(2);
 
 std::vector<std::string> ErrorLines(const SettingErrors& errors) {
@@ -32,7 +32,7 @@
 // don't all call the platform at once when it is available again.
 void RetryWatch(Context& context) {
   ConfigState& config = context.state().config;
-  config.backoff = std::clamp(config.backoff * 2, kFirstBackoff, kLastBackoff);
+  config.backoff = std::clamp(config.backoff * 2, kMinBackoff, kMaxBackoff);
   config.retry_at = context.now() + context.Jitter(config.backoff);
   context.At(config.retry_at, TimerKind::kWatch);
 }
@@ -97,15 +97,15 @@
 
 void ApplyConfig(Context& context, const ConfigView& view) {
   ConfigState& config = context.state().config;
-  if (view.revision <= config.seen) {
-    if (view.revision < config.seen) {
+  if (view.revision <= config.latest_revision) {
+    if (view.revision < config.latest_revision) {
       context.Log(EventNumber::kConfigurationRefusedOlder,
                   {{"revision", std::to_string(view.revision)},
                    {"in_force", std::to_string(config.view.revision)}});
     }
     return;
   }
-  config.seen = view.revision;
+  config.latest_revision = view.revision;
   const auto parsed = ParsePolicyDocument(view.document, view.revision);
   std::vector<std::string> errors;
   if (const auto* faults = std::get_if<SettingErrors>(&parsed)) {
@@ -140,7 +140,7 @@
   }
 }
 
-void OnConfigAsked(Context& context, const ConfigAsked& asked) {
+void OnConfigRequested(Context& context, const ConfigAsked& asked) {
   const ConfigState& config = context.state().config;
   if (!config.loaded) {
     context.Answer(
@@ -212,24 +212,26 @@
   ConfigState& config = state.config;
   // Each process reads the platform itself until it has both documents, from
   // the platform or from a peer.
-  const bool must_ask = config.seen == 0 || !state.membership.has_instances;
-  if (!must_ask && !IsWatcher(context)) {
+  const bool must_read =
+      config.latest_revision == 0 || !state.membership.has_instances;
+  if (!must_read && !IsWatcher(context)) {
     return;
   }
   if (context.now() < config.retry_at) {
     return;
   }
-  const Duration wait = must_ask ? Duration(0) : kWatchWait;
+  const Duration wait = must_read ? Duration(0) : kWatchWait;
   if (!config.watching) {
     config.watching = true;
-    const bool first = config.seen == 0;
+    const bool first = config.latest_revision == 0;
     if (first) {
-      context.CallPlatform(KvRange{.prefix = kConfigPrefix}, kWatchGrace,
-                           ConfigWatchPurpose{});
+      context.CallPlatform(KvRange{.prefix = kConfigPrefix},
+                           kWatchTimeoutMargin, ConfigWatchPurpose{});
     } else {
-      context.CallPlatform(
-          KvWatch{.prefix = kConfigPrefix, .after = config.seen, .wait = wait},
-          wait + kWatchGrace, ConfigWatchPurpose{});
+      context.CallPlatform(KvWatch{.prefix = kConfigPrefix,
+                                   .after = config.latest_revision,
+                                   .wait = wait},
+                           wait + kWatchTimeoutMargin, ConfigWatchPurpose{});
     }
   }
   if (!config.watching_instances) {
@@ -240,7 +242,7 @@
     context.CallPlatform(
         InstancesWatch{.after = state.membership.instances.revision,
                        .wait = list_wait},
-        list_wait + kWatchGrace, InstancesWatchPurpose{});
+        list_wait + kWatchTimeoutMargin, InstancesWatchPurpose{});
   }
 }
 
@@ -257,12 +259,12 @@
       ApplyConfig(context, {.revision = it.revision, .document = it.value});
     }
   }
-  if (config.seen == 0) {
+  if (config.latest_revision == 0) {
     // No policy has been stored yet. If this counted as a success, it would
     // reset the backoff each time, and each process would call the platform
     // several times a second until there is a policy.
-    if (!config.awaited) {
-      config.awaited = true;
+    if (!config.absence_logged) {
+      config.absence_logged = true;
       context.Log(EventNumber::kConfigurationAwaited, {});
     }
     RetryWatch(context);
@@ -280,7 +282,7 @@
     RetryWatch(context);
     return;
   }
-  if (config.seen != 0) {
+  if (config.latest_revision != 0) {
     config.backoff = Duration(0);
   }
   ApplyInstances(context, *list);
--- a/Source/scheduler/config_state.h
+++ b/Source/scheduler/config_state.h
@@ -22,8 +22,8 @@
   ConfigView view;
   bool loaded = false;
   // The latest revision, also of a document that could not be applied.
-  Revision seen = 0;
-  bool awaited = false;  // the absence of a policy has been logged
+  Revision latest_revision = 0;
+  bool absence_logged = false;  // the absence of a policy has been logged
   bool watching = false;
   bool watching_instances = false;
   bool read_instances = false;  // from the platform, since the start
@@ -35,7 +35,7 @@
 void ApplyConfig(Context& context, const ConfigView& view);
 
 // Answers with the document in force.
-void OnConfigAsked(Context& context, const ConfigAsked& asked);
+void OnConfigRequested(Context& context, const ConfigAsked& asked);
 // Checks a proposed document and writes it to the platform if its expected
 // revision is current.
 void OnConfigProposed(Context& context, const ConfigProposed& proposed);
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -15,10 +15,10 @@
 constexpr Duration kOfferInterval = std::chrono::seconds(1);
 // How long the drain waits for the handover of journals. Accepted jobs are
 // durable: a peer can adopt their journal after this process has exited.
-constexpr Duration kJournalPatience = std::chrono::seconds(10);
+constexpr Duration kJournalHandoverTimeout = std::chrono::seconds(10);
 // How long the drain waits for tasks on owned workers when there is no member
 // to hand the workers to.
-constexpr Duration kWorkerPatience = std::chrono::seconds(30);
+constexpr Duration kWorkerHandoverTimeout = std::chrono::seconds(30);
 
 void EmptyQueues(Context& context) {
   State& state = context.state();
@@ -72,20 +72,21 @@
 bool IsComplete(const Context& context) {
   const State& state = context.state();
   const Duration spent = context.now() - state.drain.started;
-  const bool requests_done = state.requests.entries.empty();
-  const bool workers_gone = state.ownership.owned == 0 ||
-                            (state.membership.members.empty() &&
-                             (IsIdle(state) || spent > kWorkerPatience));
-  const bool nobody_adopts = state.membership.members.empty();
-  const bool jobs_gone = !HasUnfinishedJobs(state) ||
-                         (nobody_adopts && IsIdle(state)) ||
-                         spent > kJournalPatience;
-  return requests_done && workers_gone && jobs_gone;
+  const bool requests_finished = state.requests.entries.empty();
+  const bool workers_released =
+      state.ownership.owned == 0 ||
+      (state.membership.members.empty() &&
+       (IsIdle(state) || spent > kWorkerHandoverTimeout));
+  const bool has_no_adopter = state.membership.members.empty();
+  const bool jobs_released = !HasUnfinishedJobs(state) ||
+                             (has_no_adopter && IsIdle(state)) ||
+                             spent > kJournalHandoverTimeout;
+  return requests_finished && workers_released && jobs_released;
 }
 
 }  // namespace
 
-void OnDrainAsked(Context& context, const DrainAsked& asked) {
+void OnDrainRequested(Context& context, const DrainAsked& asked) {
   State& state = context.state();
   context.Answer(asked.reply, DrainStarted{});
   if (state.drain.draining) {
--- a/Source/scheduler/drain.h
+++ b/Source/scheduler/drain.h
@@ -17,7 +17,7 @@
 };
 
 // Starts the drain; repeated requests are only acknowledged.
-void OnDrainAsked(Context& context, const DrainAsked& asked);
+void OnDrainRequested(Context& context, const DrainAsked& asked);
 // Offers journals and workers to members, and stops the process when the drain
 // is complete.
 void OnDrainTimer(Context& context);
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/forwarding.h"
 
@@ -50,7 +50,7 @@
   State& state = context.state();
   Task& task = job.tasks[index];
   task.attempt = state.jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   WorkerRecord& worker =
       state.ownership.workers.at(state.placement.info(target).id);
   task.owner = context.self();
@@ -69,7 +69,7 @@
                 const std::string& peer) {
   job.tasks[index].attempt =
       context.state().jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   OfferTask(context, job, index, peer, true);
 }
 
@@ -97,7 +97,7 @@
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     if (job.tasks[it].state == TaskState::kQueued) {
       EndTask(context, job, it, TaskState::kFailed);
-    } else if (IsOut(job.tasks[it])) {
+    } else if (IsOutstanding(job.tasks[it])) {
       StopAttempt(context, job, it);
     }
   }
@@ -145,7 +145,7 @@
 }
 
 void OnGangTaskHeld(Context& context, Job& job) {
-  if (job.gang_running || job.settling) {
+  if (job.gang_running || job.recovering) {
     return;
   }
   const bool all_held =
@@ -155,7 +155,7 @@
     return;
   }
   job.gang_running = true;
-  job.went = true;
+  job.go_sent = true;
   job.hold_until = Time(0);
   context.Log(EventNumber::kGangStarted,
               {{"job", job.id}, {"tasks", std::to_string(job.tasks.size())}});
@@ -209,7 +209,7 @@
   }
 }
 
-void SettleGang(Context& context, Job& job) {
+void RecoverGang(Context& context, Job& job) {
   const bool all_run =
       std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& it) {
         return it.state == TaskState::kRunning || HasEnded(it);
--- a/Source/scheduler/gangs.h
+++ b/Source/scheduler/gangs.h
@@ -29,7 +29,7 @@
 
 // Called after the search for the attempts of an adopted gang. The gang
 // continues if all its tasks run or have ended; otherwise it backs off.
-void SettleGang(Context& context, Job& job);
+void RecoverGang(Context& context, Job& job);
 
 // Handles the end of the hold or of the backoff.
 void OnGangTimer(Context& context, const std::string& id);
--- a/Source/scheduler/job_status.cc
+++ b/Source/scheduler/job_status.cc
@@ -3,7 +3,7 @@
 #include <optional>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 
 namespace burdockrock {
@@ -67,9 +67,9 @@
     }
   }
   if (!job.cancel_peer.empty() && recorded) {
-    context.Send(
-        job.cancel_peer,
-        AskWorkAnswer{.ask = job.cancel_ask, .found = true, .status = *status});
+    context.Send(job.cancel_peer, AskWorkAnswer{.ask = job.cancel_query,
+                                                .found = true,
+                                                .status = *status});
     job.cancel_peer.clear();
   }
 }
@@ -79,7 +79,7 @@
   switch (task.state) {
     case TaskState::kQueued:
       --job.queued;
-      --context.state().jobs.waiting;
+      --context.state().jobs.queued_tasks;
       task.state = TaskState::kCancelled;
       --job.open;
       break;
--- a/Source/scheduler/job_status.h
+++ b/Source/scheduler/job_status.h
@@ -22,13 +22,15 @@
 
 // Handle a caller's status query or cancel, which is forwarded to the journal's
 // writer if that is another member, and one that a peer forwarded.
-void OnWorkAsked(Context& context, const WorkAsked& asked);
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask);
+void OnWorkQuery(Context& context, const WorkAsked& asked);
+void OnPeerWorkQuery(Context& context,
+                     const std::string& from,
+                     const AskWork& ask);
 
 // Answers the callers of forwarded queries that the writer did not answer in
 // time.
-void ExpireAsks(Context& context);
-void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer);
+void ExpireForwardedQueries(Context& context);
+void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer);
 
 // Handles the outcome of appending the record of a cancel.
 void OnCancelRecorded(Context& context,
--- a/Source/scheduler/jobs.cc
+++ b/Source/scheduler/jobs.cc
@@ -6,25 +6,25 @@
 
 namespace burdockrock {
 
-bool IsOut(const Task& task) {
+bool IsOutstanding(const Task& task) {
   return task.state == TaskState::kStarting || task.state == TaskState::kHeld ||
          task.state == TaskState::kRunning ||
          task.state == TaskState::kStopping ||
          task.state == TaskState::kOrphaned;
 }
 
-void NoteDispatched(Context& context, Job& job, std::uint32_t index) {
+void ChargeTeam(Context& context, Job& job, std::uint32_t index) {
   --job.queued;
-  --context.state().jobs.waiting;
+  --context.state().jobs.queued_tasks;
   Task& task = job.tasks[index];
   task.tries = static_cast<std::uint8_t>(std::min(task.tries + 1, 255));
   task.state = TaskState::kStarting;
-  task.offered = context.now();
+  task.last_sent = context.now();
   context.state().jobs.team_usage[job.spec.team] += job.spec.resources;
 }
 
-void NoteReturned(Context& context, Job& job, std::uint32_t index) {
-  if (IsOut(job.tasks[index])) {
+void CreditTeam(Context& context, Job& job, std::uint32_t index) {
+  if (IsOutstanding(job.tasks[index])) {
     context.state().jobs.team_usage[job.spec.team] -= job.spec.resources;
   }
 }
@@ -61,7 +61,7 @@
 
 void RequeueTask(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   task.state = TaskState::kQueued;
   task.worker.clear();
   task.owner.clear();
@@ -69,7 +69,7 @@
     --task.tries;  // it did not run
   }
   ++job.queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job.next_queued = std::min(job.next_queued, index);
   QueueJob(context, job);
 }
@@ -81,7 +81,7 @@
   job.finished = true;
   context.Log(EventNumber::kJobEnded, {{"job", job.id}});
   AppendTo(context, job.log, RecordOfJob(job), {}, std::nullopt);
-  context.After(kFinishedKept, TimerKind::kForgetJob, job.id);
+  context.After(kFinishedJobRetention, TimerKind::kForgetJob, job.id);
 }
 
 void OnForgetJobTimer(Context& context, const std::string& id) {
@@ -105,9 +105,9 @@
   for (const ReplyId it : job->cancel_replies) {
     context.Answer(it, WorkAnswer{.id = id, .verdict = lost});
   }
-  state.jobs.waiting -= job->queued;
+  state.jobs.queued_tasks -= job->queued;
   for (std::uint32_t it = 0; it < job->tasks.size(); ++it) {
-    NoteReturned(context, *job, it);
+    CreditTeam(context, *job, it);
   }
   state.jobs.jobs.erase(state.jobs.jobs.find(id));
 }
--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -43,17 +43,18 @@
 
 struct Task {
   TaskState state = TaskState::kQueued;
-  TaskState end = TaskState::kDone;  // the state after kEnding
+  TaskState final_state =
+      TaskState::kDone;  // the state after kEnding
   // Attempts, except those that never started; at most 255.
   std::uint8_t tries = 0;
   // Whether the dispatch is recorded; only for non-idempotent jobs.
   bool dispatched = false;
   std::uint64_t attempt = 0;
   std::uint64_t offer_sequence = 0;
-  Time offered{0};     // when the last offer, stop or go was sent
+  Time last_sent{0};     // when the last offer, stop or go was sent
   std::string worker;  // that has the attempt; empty when unknown
   std::string owner;   // the member that owns the worker
-  std::string answer;  // of an ended task, truncated to kMaxKeptAnswer
+  std::string answer;  // of an ended task, truncated to kMaxAnswerBytes
 };
 
 // Names: journal "jobs.DOMAIN.INSTANCE.INCARNATION-NUMBER", job
@@ -61,10 +62,10 @@
 inline constexpr char kJobIdPrefix[] = "j.";
 inline constexpr char kJournalPrefix[] = "jobs.";
 
-inline constexpr std::size_t kMaxKeptAnswer = 1024;
+inline constexpr std::size_t kMaxAnswerBytes = 1024;
 
 // How long the status of a finished job is available.
-inline constexpr Duration kFinishedKept = std::chrono::minutes(10);
+inline constexpr Duration kFinishedJobRetention = std::chrono::minutes(10);
 
 struct Job {
   std::string id;
@@ -74,7 +75,7 @@
   ReplyId reply = 0;  // the caller that waits for acceptance; 0: none
   std::vector<ReplyId> cancel_replies;  // waiters for the record of the cancel
   std::string cancel_peer;              // the peer that forwarded a cancel
-  std::uint64_t cancel_ask = 0;
+  std::uint64_t cancel_query = 0;
   Time arrived{0};
   Time first_start{0};
   bool recorded = false;  // the journal holds it
@@ -92,8 +93,8 @@
   std::set<std::string> failed_on;  // workers; at most a few
   // Of a gang.
   bool gang_running = false;  // all were held and the go was sent
-  bool went = false;          // a go may have been sent to some task
-  bool settling = false;      // adopted; its attempts are being searched for
+  bool go_sent = false;       // a go may have been sent to some task
+  bool recovering = false;    // adopted; its attempts are being searched for
   Time hold_until{0};  // end of the hold while it is being assembled; or 0
   Time retry_at{0};
   std::uint32_t backoffs = 0;
@@ -111,11 +112,11 @@
 
 // A caller's status query or cancel, forwarded to the writer of the job's
 // journal.
-struct OpenAsk {
+struct ForwardedQuery {
   ReplyId reply = 0;
   std::string id;
   bool cancel = false;
-  Time until{0};
+  Time deadline{0};
 };
 
 struct Jobs {
@@ -128,7 +129,7 @@
   // since when.
   std::map<std::string, Time> unlisted;
   std::map<std::string, Resources> team_usage;
-  std::int64_t waiting = 0;  // tasks queued, of all jobs
+  std::int64_t queued_tasks = 0;  // of all jobs
   // By journal: offers of a lower generation are refused.
   std::map<std::string, std::uint64_t> fences;
   // Attempts that ran on a worker when this process lost it, with the expiry
@@ -137,8 +138,8 @@
   // Attempts whose stop arrived before their offer, with the expiry of the
   // entry.
   std::map<AttemptId, Time> stopped_early;
-  std::uint64_t next_ask = 1;
-  std::map<std::uint64_t, OpenAsk> asks;
+  std::uint64_t next_query = 1;
+  std::map<std::uint64_t, ForwardedQuery> forwarded_queries;
 };
 
 Job* FindJob(Context& context, const std::string& id);
@@ -160,14 +161,14 @@
 void OnRetryTaskTimer(Context& context, const std::string& id);
 
 // Whether an attempt of the task holds or may hold room on a worker.
-bool IsOut(const Task& task);
+bool IsOutstanding(const Task& task);
 
 // Takes a task from the queue for an attempt and counts its resources against
 // its team.
-void NoteDispatched(Context& context, Job& job, std::uint32_t task);
+void ChargeTeam(Context& context, Job& job, std::uint32_t task);
 
 // Returns the resources of an outstanding attempt to the team's usage.
-void NoteReturned(Context& context, Job& job, std::uint32_t task);
+void CreditTeam(Context& context, Job& job, std::uint32_t task);
 
 // Finishes the job if its last task has ended.
 void FinishIfDone(Context& context, Job& job);
--- a/Source/scheduler/journal.h
+++ b/Source/scheduler/journal.h
@@ -66,7 +66,9 @@
 
 // Sends the platform calls of a step of a log and handles its outcomes. The
 // name is passed by value: the step may remove the job that holds it.
-void RunLedger(Context& context, std::string name, LedgerProgress progress);
+void ApplyLedgerProgress(Context& context,
+                         std::string name,
+                         LedgerProgress progress);
 
 void OnLedgerTimer(Context& context, const std::string& name);
 
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/job_status.h"
 #include "scheduler/request_admission.h"
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Duration kOfferRepeat = std::chrono::seconds(1);
-constexpr Duration kEndRepeat = std::chrono::seconds(1);
-constexpr Duration kStoppedEarlyKept = std::chrono::seconds(60);
-constexpr Duration kMovedKept = std::chrono::minutes(10);
+constexpr Duration kOfferRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEndRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEarlyStopRetention = std::chrono::seconds(60);
+constexpr Duration kMovedRetention = std::chrono::minutes(10);
 // Reason of a refusal: the attempt may be running, but under another owner.
 constexpr char kMoved[] = "moved";
 // Reason of a refusal: the attempt is not here, and an offer of it that is
@@ -66,7 +66,7 @@
     const Task& task = job.tasks[it];
     const bool waits = task.state == TaskState::kStarting &&
                        !task.owner.empty() && task.owner != context.self() &&
-                       context.now() - task.offered >= kOfferRepeat;
+                       context.now() - task.last_sent >= kOfferRepeatInterval;
     if (waits) {
       OfferTask(context, job, it, task.owner, job.spec.kind == JobKind::kGang);
     }
@@ -77,7 +77,7 @@
 void RepeatStops(Context& context, Job& job) {
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     const Task& task = job.tasks[it];
-    if (context.now() - task.offered < kOfferRepeat) {
+    if (context.now() - task.last_sent < kOfferRepeatInterval) {
       continue;
     }
     if (task.state == TaskState::kStopping) {
@@ -129,7 +129,7 @@
   Task& task = job.tasks[index];
   task.owner = peer;
   task.worker.clear();
-  task.offered = context.now();
+  task.last_sent = context.now();
   task.offer_sequence = ++target.offer_sequence;
   target.lent_room += job.spec.resources;
   context.Send(
@@ -163,7 +163,7 @@
     Booking& booking = holder->bookings.at(offer.attempt);
     booking.offer_sequence = offer.sequence;
     if (booking.confirmed != Time(0)) {
-      TellWriter(context, *holder, booking);
+      ReportToWriter(context, *holder, booking);
     }
     return;
   }
@@ -198,7 +198,7 @@
   Job* job = JobOfAttempt(context, refused.attempt, &task);
   if (refused.reason == kMoved) {
     if (job != nullptr && task->attempt == refused.attempt.number &&
-        task->owner == from && IsOut(*task)) {
+        task->owner == from && IsOutstanding(*task)) {
       OrphanTask(context, *job, refused.attempt.task);
     }
     return;
@@ -234,23 +234,23 @@
     }
     return;
   }
-  context.state().jobs.moved[booking.attempt] = context.now() + kMovedKept;
+  context.state().jobs.moved[booking.attempt] = context.now() + kMovedRetention;
   Refuse(context, booking.offered_by, booking.offer_sequence, booking.attempt,
          kMoved);
 }
 
-void OnStartDone(Context& context,
-                 WorkerRecord& worker,
-                 const AttemptId& attempt) {
+void OnStartAccepted(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt) {
   Booking& booking = worker.bookings.at(attempt);
   booking.uncertain = false;
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void OnStartNotDone(Context& context,
-                    WorkerRecord& worker,
-                    const AttemptId& attempt,
-                    const std::string& why) {
+void OnStartRejected(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt,
+                     const std::string& why) {
   const Booking booking = worker.bookings.at(attempt);
   EraseBooking(context, worker, attempt);
   if (why == "no_room") {
@@ -284,7 +284,7 @@
   Booking& booking = worker.bookings.at(report.attempt);
   if (booking.holds_room && worker.index) {
     context.state().placement.Give(*worker.index, booking.resources);
-    context.state().tasks.wanted = true;
+    context.state().tasks.pass_needed = true;
   }
   booking.holds_room = false;
   booking.uncertain = false;
@@ -302,12 +302,12 @@
                    : report.attempt.job,
             failed, job != nullptr && job->bad);
   }
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void TellWriter(Context& context,
-                const WorkerRecord& worker,
-                Booking& booking) {
+void ReportToWriter(Context& context,
+                    const WorkerRecord& worker,
+                    Booking& booking) {
   booking.told = context.now();
   const AttemptReport report = ReportOf(booking);
   const std::string log = LogOfJob(report.attempt.job);
@@ -389,7 +389,7 @@
     return;
   }
   // The offer may still be in transit.
-  jobs.stopped_early[attempt] = context.now() + kStoppedEarlyKept;
+  jobs.stopped_early[attempt] = context.now() + kEarlyStopRetention;
   Refuse(context, from, 0, attempt, kStopped);
 }
 
@@ -397,7 +397,7 @@
   Task& task = job.tasks[index];
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   task.state = TaskState::kStopping;
-  task.offered = context.now();
+  task.last_sent = context.now();
   if (task.owner == context.self() &&
       FindBooking(context, attempt) != nullptr) {
     OnTaskStop(context, context.self(), attempt);
@@ -412,7 +412,7 @@
 
 void GoAttempt(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  task.offered = context.now();
+  task.last_sent = context.now();
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   if (task.owner.empty() || task.owner == context.self()) {
     OnTaskGo(context, attempt);
@@ -430,17 +430,17 @@
     }
   }
   for (auto& [id, worker] : state.ownership.workers) {
-    std::vector<AttemptId> untold;
+    std::vector<AttemptId> unacknowledged;
     for (const auto& [attempt, booking] : worker.bookings) {
       if (booking.state == AttemptState::kEnded &&
-          context.now() - booking.told >= kEndRepeat) {
-        untold.push_back(attempt);
+          context.now() - booking.told >= kEndRepeatInterval) {
+        unacknowledged.push_back(attempt);
       }
     }
-    for (const AttemptId& it : untold) {
+    for (const AttemptId& it : unacknowledged) {
       const auto booking = worker.bookings.find(it);
       if (booking != worker.bookings.end()) {
-        TellWriter(context, worker, booking->second);
+        ReportToWriter(context, worker, booking->second);
       }
     }
   }
@@ -449,8 +449,8 @@
   std::erase_if(state.jobs.moved,
                 [&](const auto& it) { return it.second < context.now(); });
   ForgetOldForwards(context);
-  ExpireAsks(context);
-  context.After(kOfferRepeat, TimerKind::kOffers);
+  ExpireForwardedQueries(context);
+  context.After(kOfferRepeatInterval, TimerKind::kOffers);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/tasks.h
+++ b/Source/scheduler/tasks.h
@@ -28,7 +28,7 @@
   // Number of times that each class came up; decides when lower classes go
   // first.
   std::array<std::uint64_t, kUrgencyCount> picks{};
-  bool wanted = false;  // run a placement pass at the end of this step
+  bool pass_needed = false;  // run a placement pass at the end of this step
 };
 
 // Adds the job to the queue, unless it is there, and requests a placement pass.
@@ -63,13 +63,13 @@
 
 // Handle the worker's reply to a start command and report it to the journal's
 // writer.
-void OnStartDone(Context& context,
-                 WorkerRecord& worker,
-                 const AttemptId& attempt);
-void OnStartNotDone(Context& context,
-                    WorkerRecord& worker,
-                    const AttemptId& attempt,
-                    const std::string& why);
+void OnStartAccepted(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt);
+void OnStartRejected(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt,
+                     const std::string& why);
 
 // Handles a worker's report that an attempt ended or is unknown to it.
 void OnEndReported(Context& context,
@@ -78,7 +78,9 @@
 
 // Reports a running or ended attempt to the journal's writer. Without a known
 // writer, an end is reported again later.
-void TellWriter(Context& context, const WorkerRecord& worker, Booking& booking);
+void ReportToWriter(Context& context,
+                    const WorkerRecord& worker,
+                    Booking& booking);
 
 void OnTaskOffer(Context& context,
                  const std::string& from,
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -38,18 +38,19 @@
                const WorkAsked& asked,
                const std::string& writer) {
   Jobs& jobs = context.state().jobs;
-  const std::uint64_t ask = jobs.next_ask++;
-  jobs.asks.emplace(ask, OpenAsk{.reply = asked.reply,
-                                 .id = asked.id,
-                                 .cancel = asked.cancel,
-                                 .until = context.now() + kAskPatience});
+  const std::uint64_t ask = jobs.next_query++;
+  jobs.forwarded_queries.emplace(
+      ask, ForwardedQuery{.reply = asked.reply,
+                          .id = asked.id,
+                          .cancel = asked.cancel,
+                          .deadline = context.now() + kAskPatience});
   context.Send(writer,
                AskWork{.ask = ask, .id = asked.id, .cancel = asked.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkAsked& asked) {
+void OnWorkQuery(Context& context, const WorkAsked& asked) {
   const auto request = asked.cancel ? CancelRequest(context, asked.id)
                                     : RequestStatus(context, asked.id);
   if (request) {
@@ -79,7 +80,9 @@
   AskWriter(context, asked, writer);
 }
 
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
+void OnPeerWorkQuery(Context& context,
+                     const std::string& from,
+                     const AskWork& ask) {
   Job* job = FindJob(context, ask.id);
   if (job == nullptr) {
     const bool writes =
@@ -90,7 +93,7 @@
   }
   if (ask.cancel) {
     job->cancel_peer = from;
-    job->cancel_ask = ask.ask;
+    job->cancel_query = ask.ask;
     CancelJob(context, *job);
     return;
   }
@@ -101,11 +104,12 @@
 
 // The writer may have died with the question: the caller hears that it has to
 // ask again instead of nothing. A cancel may have been taken.
-void ExpireAsks(Context& context) {
+void ExpireForwardedQueries(Context& context) {
   Jobs& jobs = context.state().jobs;
-  for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
-    const OpenAsk& ask = it->second;
-    if (context.now() < ask.until) {
+  for (auto it = jobs.forwarded_queries.begin();
+       it != jobs.forwarded_queries.end();) {
+    const ForwardedQuery& ask = it->second;
+    if (context.now() < ask.deadline) {
       ++it;
       continue;
     }
@@ -121,18 +125,18 @@
                                "answer; cancel again"};
     }
     context.Answer(ask.reply, WorkAnswer{.id = ask.id, .verdict = verdict});
-    it = jobs.asks.erase(it);
+    it = jobs.forwarded_queries.erase(it);
   }
 }
 
-void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer) {
+void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer) {
   Jobs& jobs = context.state().jobs;
-  const auto it = jobs.asks.find(answer.ask);
-  if (it == jobs.asks.end()) {
+  const auto it = jobs.forwarded_queries.find(answer.ask);
+  if (it == jobs.forwarded_queries.end()) {
     return;  // doubled
   }
-  const OpenAsk ask = it->second;
-  jobs.asks.erase(it);
+  const ForwardedQuery ask = it->second;
+  jobs.forwarded_queries.erase(it);
   if (!answer.found && !answer.writes) {
     // The journal has just moved to another writer, which may have the job.
     AnswerWriterUnknown(context, ask.reply, ask.id);
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -199,9 +199,9 @@
   REQUIRE(RunUntilAnswered(group, inside));
   const Revision stored = StoredAs(group, outside);
   REQUIRE(stored > 0);
-  const auto told = group.VerdictOf(inside);
-  REQUIRE(told);
-  CHECK(!std::holds_alternative<Accepted>(*told));
+  const auto verdict = group.VerdictOf(inside);
+  REQUIRE(verdict);
+  CHECK(!std::holds_alternative<Accepted>(*verdict));
   CHECK(RevisionAt(group, "d1-e0") == before);
   group.CutDomain(1, false);
   CHECK(RunUntilInForce(group, stored));
@@ -262,7 +262,7 @@
   group.Restart("d0-e0");
   group.Restart("d0-e1");
   group.Run(seconds(10));
-  CHECK(group.LinesOf(EventNumber::kConfigurationAwaited).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kConfigurationAwaited).size() == 2);
   CHECK(group.state("d0-e0").counters.platform_calls < 20);
   const ReplyId early = group.Submit("d0-e0", DeskRequest("answer=x"));
   const auto refused = group.VerdictOf(early);
--- a/Tests/scheduler/entry_failure_test.cc
+++ b/Tests/scheduler/entry_failure_test.cc
@@ -69,7 +69,8 @@
       AcceptedJob(group, "d0-e1", LongJob(JobKind::kBatch, 30));
   group.CutPeers("d0-e0", "d0-e1", true);
   group.Run(seconds(60));
-  const std::size_t claims = group.LinesOf(EventNumber::kWorkerClaimed).size();
+  const std::size_t claims =
+      group.LogLinesOf(EventNumber::kWorkerClaimed).size();
   CHECK(claims < 60);
   group.CutPeers("d0-e0", "d0-e1", false);
   CHECK(RunUntilDone(group, first, seconds(120)));
@@ -197,13 +198,13 @@
       AcceptedJob(group, "d0-e0", LongJob(JobKind::kBatch, 2));
   group.Run(seconds(1));
   group.Pause("d0-e0");
-  const ReplyId status = group.Ask("d0-e1", job, false);
-  const ReplyId cancel = group.Ask("d0-e1", job, true);
+  const ReplyId status = group.QueryWork("d0-e1", job, false);
+  const ReplyId cancel = group.QueryWork("d0-e1", job, true);
   group.Run(seconds(4));
-  const auto told = group.VerdictOf(status);
-  REQUIRE(told);
-  REQUIRE(std::holds_alternative<NotRun>(*told));
-  CHECK(std::get<NotRun>(*told).retry_after > Duration(0));
+  const auto verdict = group.VerdictOf(status);
+  REQUIRE(verdict);
+  REQUIRE(std::holds_alternative<NotRun>(*verdict));
+  CHECK(std::get<NotRun>(*verdict).retry_after > Duration(0));
   const auto cancelled = group.VerdictOf(cancel);
   REQUIRE(cancelled);
   CHECK(std::holds_alternative<MayHaveRun>(*cancelled));
--- a/Tests/scheduler/entry_group.h
+++ b/Tests/scheduler/entry_group.h
@@ -41,9 +41,9 @@
   Duration platform_delay = std::chrono::milliseconds(2);
   Duration list_lag = std::chrono::seconds(1);
   // Probabilities that a peer message is lost, duplicated or delayed.
-  double lose = 0;
-  double repeat = 0;
-  double hold_back = 0;
+  double loss_probability = 0;
+  double duplication_probability = 0;
+  double delay_probability = 0;
   // A JSON merge patch that is applied to the base policy.
   std::string policy = "{}";
 };
@@ -102,7 +102,9 @@
   ReplyId Submit(const std::string& entry, Request request);
   ReplyId Submit(const std::string& entry, JobSpec spec);
   // Queries the status of a job or cancels it.
-  ReplyId Ask(const std::string& entry, const std::string& id, bool cancel);
+  ReplyId QueryWork(const std::string& entry,
+                    const std::string& id,
+                    bool cancel);
   ReplyId PutConfig(const std::string& entry,
                     Revision expect,
                     const std::string& document);
@@ -127,7 +129,7 @@
   std::uint64_t peer_messages() const { return peer_messages_; }
   std::uint64_t peer_messages_of_kind(std::size_t index) const;
   const std::vector<Duration>& waits() const { return waits_; }
-  std::vector<LogLine> LinesOf(EventNumber number) const;
+  std::vector<LogLine> LogLinesOf(EventNumber number) const;
   // If set, called with each effect before it is applied.
   std::function<void(const std::string& entry, const Effect&)> on_effect;
 
@@ -147,16 +149,16 @@
   };
   // An action of the simulation; actions of the same time run in order of
   // `sequence`.
-  struct Occasion {
+  struct ScheduledAction {
     Time at{0};
     std::uint64_t sequence = 0;
     std::function<void()> action;
-    bool operator>(const Occasion& other) const {
+    bool operator>(const ScheduledAction& other) const {
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
   // A watch of the platform that waits for a change.
-  struct HeldWatch {
+  struct PendingWatch {
     std::string entry;
     std::uint64_t incarnation = 0;
     CallId call = 0;
@@ -164,7 +166,7 @@
     Time until{0};
   };
   // A lease renewal (long poll) that waits at a worker.
-  struct HeldRenew {
+  struct PendingRenewal {
     std::string entry;
     std::uint64_t incarnation = 0;
     CallId call = 0;
@@ -174,8 +176,8 @@
   struct Machine {
     std::unique_ptr<standin::WorkerModel> model;
     bool killed = false;
-    Time poke_at = kForever;  // when the model is advanced next
-    std::list<HeldRenew> renews;
+    Time next_advance = kForever;  // when the model is advanced next
+    std::list<PendingRenewal> renews;
   };
 
   void BuildInstances();
@@ -187,10 +189,10 @@
   void Step(Entry& entry, EventBody body);
   void ArmTimer(Entry& entry);
   void RunOne();
-  void Carry(Entry& entry, const Effect& effect);
-  void CarryPlatform(Entry& entry, const CallPlatform& call);
-  void CarryWorker(Entry& entry, const CallWorker& call);
-  void CarryPeer(Entry& entry, const SendPeer& send);
+  void ApplyEffect(Entry& entry, const Effect& effect);
+  void DeliverPlatformCall(Entry& entry, const CallPlatform& call);
+  void DeliverWorkerCall(Entry& entry, const CallWorker& call);
+  void DeliverPeerMessage(Entry& entry, const SendPeer& send);
   void ApplyCommand(const std::string& entry,
                     std::uint64_t incarnation,
                     const CallWorker& call);
@@ -203,8 +205,8 @@
                       std::uint64_t incarnation,
                       CallId call,
                       PlatformResult result);
-  void PokePlatform();
-  void PokeWorker(const std::string& id);
+  void AdvancePlatform();
+  void AdvanceWorker(const std::string& id);
 
   EntryGroupOptions options_;
   std::mt19937_64 random_;
@@ -213,15 +215,18 @@
   std::map<std::string, Entry> entries_;
   std::map<std::string, Machine> machines_;
   std::vector<InstanceInfo> instances_;
-  std::priority_queue<Occasion, std::vector<Occasion>, std::greater<>> agenda_;
-  std::list<HeldWatch> watches_;
+  std::priority_queue<ScheduledAction,
+                      std::vector<ScheduledAction>,
+                      std::greater<>>
+      scheduled_;
+  std::list<PendingWatch> watches_;
   std::map<ReplyId, CallerAnswer> answers_;
   std::map<ReplyId, Time> answered_at_;
   std::vector<LogLine> lines_;
   std::vector<Duration> waits_;
-  std::map<std::string, Revision> config_seen_;
-  std::vector<std::string> broken_;
-  std::vector<std::uint64_t> by_kind_;
+  std::map<std::string, Revision> config_revisions_;
+  std::vector<std::string> violations_;
+  std::vector<std::uint64_t> messages_by_kind_;
   Time now_{0};
   std::uint64_t next_sequence_ = 0;
   std::uint64_t next_incarnation_ = 100;
--- a/Tests/scheduler/entry_group_edges.cc
+++ b/Tests/scheduler/entry_group_edges.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Duration kLongestHold = std::chrono::milliseconds(400);
+constexpr Duration kMaxExtraDelay = std::chrono::milliseconds(400);
 constexpr Duration kRefusedDelay = std::chrono::microseconds(300);
 }  // namespace
 
-void EntryGroup::CarryPlatform(Entry& entry, const CallPlatform& call) {
+void EntryGroup::DeliverPlatformCall(Entry& entry, const CallPlatform& call) {
   const std::string id = entry.id;
   const std::uint64_t incarnation = entry.incarnation;
   const auto fail = [this, id, incarnation, call] {
@@ -42,9 +42,9 @@
                           .call = call.call,
                           .operation = call.operation,
                           .until = until});
-      After(until - now_, [this] { PokePlatform(); });
+      After(until - now_, [this] { AdvancePlatform(); });
     }
-    PokePlatform();
+    AdvancePlatform();
   });
 }
 
@@ -61,32 +61,32 @@
         });
 }
 
-void EntryGroup::PokePlatform() {
+void EntryGroup::AdvancePlatform() {
   platform_.Advance(now_);
   if (platform_.faults().down) {
     return;
   }
   for (auto it = watches_.begin(); it != watches_.end();) {
-    auto news = platform_.TryWatch(it->operation);
-    if (!news && now_ >= it->until) {
-      news = platform_.EmptyAnswer(it->operation);
+    auto update = platform_.TryWatch(it->operation);
+    if (!update && now_ >= it->until) {
+      update = platform_.EmptyAnswer(it->operation);
     }
-    if (!news) {
+    if (!update) {
       ++it;
       continue;
     }
-    AnswerPlatform(it->entry, it->incarnation, it->call, *std::move(news));
+    AnswerPlatform(it->entry, it->incarnation, it->call, *std::move(update));
     it = watches_.erase(it);
   }
   const Time next = platform_.NextEventTime();
   if (next != kForever && next > now_) {
     // Answers the watches as soon as the change is visible, not only at the
     // next call of the platform.
-    After(next - now_, [this] { PokePlatform(); });
+    After(next - now_, [this] { AdvancePlatform(); });
   }
 }
 
-void EntryGroup::CarryWorker(Entry& entry, const CallWorker& call) {
+void EntryGroup::DeliverWorkerCall(Entry& entry, const CallWorker& call) {
   const std::string id = entry.id;
   const std::uint64_t incarnation = entry.incarnation;
   const Machine& machine = machines_.at(call.worker);
@@ -137,14 +137,14 @@
                                 .call = call.call,
                                 .command = *renew,
                                 .until = until});
-      After(renew->wait, [this, id = call.worker] { PokeWorker(id); });
+      After(renew->wait, [this, id = call.worker] { AdvanceWorker(id); });
     } else if (first) {
       answer(*first);
     }
   } else if (const auto result = model.Apply(call.command, now_)) {
     answer(*result);
   }
-  PokeWorker(call.worker);
+  AdvanceWorker(call.worker);
 }
 
 void EntryGroup::AnswerWorker(const std::string& entry,
@@ -161,7 +161,7 @@
         });
 }
 
-void EntryGroup::PokeWorker(const std::string& id) {
+void EntryGroup::AdvanceWorker(const std::string& id) {
   Machine& machine = machines_.at(id);
   if (machine.killed) {
     return;
@@ -184,16 +184,17 @@
   // At most one future advance is scheduled for each machine. With one for each
   // command, each of them would schedule the next, and their number would grow
   // with every command that the machine ever got.
-  const bool is_planned = machine.poke_at > now_ && machine.poke_at <= next;
+  const bool is_planned =
+      machine.next_advance > now_ && machine.next_advance <= next;
   if (next != kForever && next > now_ && !is_planned) {
-    machine.poke_at = next;
-    After(next - now_, [this, id] { PokeWorker(id); });
+    machine.next_advance = next;
+    After(next - now_, [this, id] { AdvanceWorker(id); });
   }
 }
 
-void EntryGroup::CarryPeer(Entry& entry, const SendPeer& send) {
+void EntryGroup::DeliverPeerMessage(Entry& entry, const SendPeer& send) {
   ++peer_messages_;
-  ++by_kind_[send.message.index()];
+  ++messages_by_kind_[send.message.index()];
   const auto target = entries_.find(send.peer);
   if (target == entries_.end()) {
     return;
@@ -211,15 +212,15 @@
     return;
   }
   std::uniform_real_distribution<double> chance(0, 1);
-  if (chance(random_) < options_.lose) {
+  if (chance(random_) < options_.loss_probability) {
     return;
   }
-  const int copies = chance(random_) < options_.repeat ? 2 : 1;
+  const int copies = chance(random_) < options_.duplication_probability ? 2 : 1;
   for (int it = 0; it < copies; ++it) {
     Duration delay = options_.peer_delay;
-    if (chance(random_) < options_.hold_back) {
+    if (chance(random_) < options_.delay_probability) {
       delay += Duration(static_cast<Duration::rep>(
-          chance(random_) * static_cast<double>(kLongestHold.count())));
+          chance(random_) * static_cast<double>(kMaxExtraDelay.count())));
     }
     const std::uint64_t to = target->second.incarnation;
     After(delay, [this, from, incarnation, to, send, domain = entry.domain] {
--- a/Tests/scheduler/job_failure_test.cc
+++ b/Tests/scheduler/job_failure_test.cc
@@ -122,8 +122,8 @@
   group.Run(seconds(4));
   group.Kill("d0-e0");
   group.Run(seconds(30));
-  CHECK(group.LinesOf(EventNumber::kLogAdopted).size() == 1);
-  CHECK(group.LinesOf(EventNumber::kLogFenced).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kLogAdopted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kLogFenced).size() == 1);
   group.CutPeers("d0-e1", "d0-e2", false);
   CHECK(RunUntilDone(group, job, seconds(300)));
   CHECK(Overcommits(group) == 0);
@@ -170,7 +170,7 @@
   REQUIRE(group.recorder().executions() == 0);
   group.CutDomain(0, true);
   group.Run(seconds(30));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 1);
   CHECK(group.recorder().executions() == 30);
   group.CutDomain(0, false);
   CHECK(RunUntilDone(group, job, seconds(60)));
@@ -203,7 +203,7 @@
 // some while they run; an entry drains meanwhile and peer messages are
 // reordered. A stop that arrives before its start stops nothing.
 TEST_CASE("Many cancels during a drain leave nothing running") {
-  EntryGroup group({.entries = {3}, .workers = 6, .hold_back = 0.3});
+  EntryGroup group({.entries = {3}, .workers = 6, .delay_probability = 0.3});
   REQUIRE(Settle(group));
   std::vector<std::string> jobs;
   jobs.push_back(AcceptJob(group, "d0-e0", LongJob(JobKind::kBatch, 30)));
@@ -228,7 +228,7 @@
   }
   std::map<std::string, ReplyId> cancels;
   for (const std::string& it : jobs) {
-    cancels[it] = group.Ask("d0-e0", it, true);
+    cancels[it] = group.QueryWork("d0-e0", it, true);
     if (cancels.size() == jobs.size() / 2) {
       group.Drain("d0-e2");
     }
@@ -242,7 +242,7 @@
       return answer != nullptr && IsCancelled(*answer);
     });
     for (auto& [job, reply] : cancels) {
-      reply = group.Ask("d0-e0", job, true);
+      reply = group.QueryWork("d0-e0", job, true);
     }
   }
   CHECK(cancels.empty());
@@ -274,7 +274,7 @@
   REQUIRE(group.VerdictOf(two) == Verdict(Accepted{}));
   CHECK(RunUntilDone(group, group.JobIdOf(one), seconds(60)));
   CHECK(RunUntilDone(group, group.JobIdOf(two), seconds(60)));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 2);
   CHECK(group.recorder().executions() == 80);
   CHECK(Overcommits(group) == 0);
   CHECK(group.Violations() == "");
@@ -407,9 +407,9 @@
   REQUIRE(Settle(group));
   const std::string job =
       AcceptJob(group, "d0-e0", LongJob(JobKind::kBatch, 2));
-  const ReplyId first = group.Ask("d0-e0", job, true);
+  const ReplyId first = group.QueryWork("d0-e0", job, true);
   group.Run(std::chrono::milliseconds(20));
-  const ReplyId second = group.Ask("d0-e0", job, true);
+  const ReplyId second = group.QueryWork("d0-e0", job, true);
   CHECK(group.AnswerTo(first) == nullptr);
   CHECK(group.AnswerTo(second) == nullptr);
   group.Run(seconds(2));
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -116,7 +116,7 @@
   CHECK(group.RunUntil([&] { return !group.IsUp("d0-e0"); }, seconds(60)));
   CHECK(asked.Check() == std::map<Reason, int>{{Reason::kDraining, 5}});
   CHECK(group.recorder().executions() == kSlots);
-  CHECK(group.LinesOf(EventNumber::kDrainStarted).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kDrainStarted).size() == 1);
 }
 
 // Guards against idle entries whose stop waits for another owner of their
@@ -149,7 +149,7 @@
     for (int it = 0; it < 200; ++it) {
       for (const std::string& entry : group.entries()) {
         if (group.IsUp(entry)) {
-          asked.push_back(group.Ask(entry, id, cancel));
+          asked.push_back(group.QueryWork(entry, id, cancel));
         }
       }
       group.Run(milliseconds(5));
@@ -241,7 +241,8 @@
   std::vector<ReplyId> cancels;
   for (std::size_t it = 0; it < replies.size(); it += 2) {
     REQUIRE(group.VerdictOf(replies[it]) == Verdict(Accepted{}));
-    cancels.push_back(group.Ask("d0-e0", group.JobIdOf(replies[it]), true));
+    cancels.push_back(
+        group.QueryWork("d0-e0", group.JobIdOf(replies[it]), true));
     if (it == 14) {
       group.Drain("d0-e0");
     }
