--- a/Source/scheduler/jobs.h
+++ b/Source/scheduler/jobs.h
@@ -43,15 +43,14 @@
 
 struct Task {
   TaskState state = TaskState::kQueued;
-  TaskState final_state =
-      TaskState::kDone;  // the state after kEnding
+  TaskState final_state = TaskState::kDone;  // replaces kEnding
   // Attempts, except those that never started; at most 255.
   std::uint8_t tries = 0;
   // Whether the dispatch is recorded; only for non-idempotent jobs.
   bool dispatched = false;
   std::uint64_t attempt = 0;
   std::uint64_t offer_sequence = 0;
-  Time last_sent{0};     // when the last offer, stop or go was sent
+  Time last_sent{0};   // when the last offer, stop or go was sent
   std::string worker;  // that has the attempt; empty when unknown
   std::string owner;   // the member that owns the worker
   std::string answer;  // of an ended task, truncated to kMaxAnswerBytes
@@ -62,6 +61,7 @@
 inline constexpr char kJobIdPrefix[] = "j.";
 inline constexpr char kJournalPrefix[] = "jobs.";
 
+// Answers of tasks are truncated to this length before they are recorded.
 inline constexpr std::size_t kMaxAnswerBytes = 1024;
 
 // How long the status of a finished job is available.
--- a/Source/scheduler/tasks.h
+++ b/Source/scheduler/tasks.h
@@ -82,6 +82,8 @@
                     const WorkerRecord& worker,
                     Booking& booking);
 
+// Handle the messages between the writer of a job's journal and the owners of
+// workers.
 void OnTaskOffer(Context& context,
                  const std::string& from,
                  const TaskOffer& offer);
