--- a/Source/scheduler/attempt_news.cc
+++ b/Source/scheduler/attempt_updates.cc
@@ -1,4 +1,4 @@
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 
 #include <algorithm>
 
@@ -19,15 +19,15 @@
       std::min(policy.backoff_min * (1U << shift), policy.backoff_max));
 }
 
-// Tries the task again after a while.
+// Requeues the task after a backoff.
 void RetryLater(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   task.state = TaskState::kQueued;
   task.worker.clear();
   task.owner.clear();
   ++job.queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job.next_queued = std::min(job.next_queued, index);
   ++context.state().counters.retries;
   context.ScheduleAfter(RetryDelay(context, task), TimerKind::kRetryTask,
@@ -56,7 +56,7 @@
     RetryLater(context, job, index);
     return;
   }
-  NoteReturned(context, job, index);
+  CreditTeam(context, job, index);
   EndTask(context, job, index, TaskState::kFailed);
 }
 
@@ -67,10 +67,10 @@
   const bool was_queued = task.state == TaskState::kQueued;
   if (was_queued) {
     --job.queued;
-    --context.state().jobs.waiting;
+    --context.state().jobs.queued_tasks;
   }
   task.state = TaskState::kEnding;
-  task.end = end;
+  task.final_state = end;
   AppendTo(context, job.log, RecordOfEnd(job, index), {},
            EndAppend{.job = job.id, .task = index});
 }
@@ -87,7 +87,7 @@
   task.dispatched = outcome == AppendOutcome::kCommitted;
   task.state = TaskState::kQueued;
   ++job->queued;
-  ++context.state().jobs.waiting;
+  ++context.state().jobs.queued_tasks;
   job->next_queued = std::min(job->next_queued, index);
   QueueJob(context, *job);
 }
@@ -99,18 +99,19 @@
                       const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt > attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt > attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (held && task->state == TaskState::kRunning) {
-    return;  // overtaken by the news that it runs
+    return;  // reordered: a later update said that it runs
   }
-  // An adopted journal doesn't know the attempt numbers of its former writer.
+  // The attempt numbers of an adopted journal's former writer aren't recorded.
   task->attempt = attempt.number;
   task->worker = worker;
   task->owner = owner;
   const bool is_stray = job->spec.kind == JobKind::kGang &&
-                        !job->gang_running && !job->settling &&
+                        !job->gang_running && !job->recovering &&
                         job->hold_until == Time(0);
   if (job->cancelled || is_stray || task->state == TaskState::kStopping) {
     task->state = TaskState::kRunning;
@@ -136,11 +137,12 @@
                          const std::string& why) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, attempt, &task);
-  if (job == nullptr || task->attempt != attempt.number || !IsOut(*task)) {
+  if (job == nullptr || task->attempt != attempt.number ||
+      !IsOutstanding(*task)) {
     return;
   }
   if (job->cancelled) {
-    NoteReturned(context, *job, attempt.task);
+    CreditTeam(context, *job, attempt.task);
     task->state = TaskState::kCancelled;
     --job->open;
     FinishIfDone(context, *job);
@@ -158,8 +160,8 @@
                     const std::string& owner) {
   Task* task = nullptr;
   Job* job = JobOfAttempt(context, report.attempt, &task);
-  const bool is_current =
-      job != nullptr && IsOut(*task) && task->attempt <= report.attempt.number;
+  const bool is_current = job != nullptr && IsOutstanding(*task) &&
+                          task->attempt <= report.attempt.number;
   if (!is_current) {
     const bool is_ending = job != nullptr && task->state == TaskState::kEnding;
     if (!is_ending) {
@@ -178,25 +180,26 @@
         RetryLater(context, *job, index);
         break;
       }
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
-      NoteReturned(context, *job, index);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
+      CreditTeam(context, *job, index);
       EndTask(context, *job, index, TaskState::kDone);
-      if (is_gang && !job->gang_running && !job->settling) {
-        BackOffGang(context, *job, "a member ended while others were stopped");
+      if (is_gang && !job->gang_running && !job->recovering) {
+        BackOffGang(context, *job,
+                    "a task ended while others were being stopped");
       }
       return;  // acknowledged when it is recorded
     case Outcome::kFailed:
-      task->answer = report.answer.substr(0, kMaxKeptAnswer);
+      task->answer = report.answer.substr(0, kMaxAnswerBytes);
       OnTaskFailed(context, *job, index, worker);
       if (task->state == TaskState::kEnding) {
         if (is_gang) {
-          BackOffGang(context, *job, "a member failed for good");
+          BackOffGang(context, *job, "a task failed and is not retried");
         }
         return;
       }
       break;
     case Outcome::kStopped:
-      NoteReturned(context, *job, index);
+      CreditTeam(context, *job, index);
       if (job->judged_failed) {
         EndTask(context, *job, index, TaskState::kFailed);
         return;
@@ -223,13 +226,13 @@
 
 void OrphanTask(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  if (!IsOut(task)) {
+  if (!IsOutstanding(task)) {
     return;
   }
   task.state = TaskState::kOrphaned;
   task.owner.clear();
-  // What an earlier search has covered says nothing of an attempt that was
-  // orphaned after it: the worker may have changed hands since.
+  // The coverage of an earlier search doesn't apply to an attempt that was
+  // orphaned later: its worker may have a new owner.
   const auto search = context.state().searches.find(job.log);
   const bool is_fresh = search != context.state().searches.end() &&
                         search->second.started == context.now() &&
@@ -242,24 +245,24 @@
 void OnAttemptLost(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   if (job.cancelled) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     task.state = TaskState::kCancelled;
     --job.open;
     FinishIfDone(context, job);
     return;
   }
   if (job.judged_failed) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kFailed);
     return;
   }
   const bool is_gang = job.spec.kind == JobKind::kGang;
-  // The tasks of a gang that was never told to go were held and did not run.
-  const bool may_have_run = task.dispatched && (!is_gang || job.went);
+  // Before the go was sent, the tasks of a gang were held and did not run.
+  const bool may_have_run = task.dispatched && (!is_gang || job.go_sent);
   if (!job.spec.idempotent && may_have_run) {
-    NoteReturned(context, job, index);
+    CreditTeam(context, job, index);
     EndTask(context, job, index, TaskState::kMayHaveRun);
-    if (is_gang && !job.settling) {
+    if (is_gang && !job.recovering) {
       BackOffGang(context, job, "attempt lost");
     }
     return;
@@ -267,7 +270,7 @@
   context.Log(EventNumber::kAttemptRestarted,
               {{"job", job.id}, {"task", std::to_string(index)}});
   RetryLater(context, job, index);
-  if (is_gang && !job.settling) {
+  if (is_gang && !job.recovering) {
     BackOffGang(context, job, "attempt lost");
   }
 }
@@ -278,10 +281,10 @@
                    AppendOutcome outcome) {
   Job* job = FindJob(context, id);
   if (job == nullptr || outcome != AppendOutcome::kCommitted) {
-    return;  // fenced: the journal's new writer decides
+    return;  // fenced: the journal's new writer takes over
   }
   Task& task = job->tasks[index];
-  task.state = task.end;
+  task.state = task.final_state;
   --job->open;
   AcknowledgeEnd(context, {.job = id, .task = index, .number = task.attempt},
                  task.owner);
--- a/Source/scheduler/claims.cc
+++ b/Source/scheduler/claims.cc
@@ -77,7 +77,7 @@
          const auto claim = DecodeClaim(current.body);
          return claim && claim->wall_ms + retention_ms > *wall_ms;
        }});
-  RunLedger(context, name, open.log->Open(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Open(context.now()));
   return state.logs.at(name);
 }
 
@@ -381,7 +381,7 @@
     may_be_written =
         may_be_written || outcome.outcome == AppendOutcome::kUnknown;
   }
-  RunLedger(context, name, std::move(progress));
+  ApplyLedgerProgress(context, name, std::move(progress));
   if (may_be_written) {
     SettleClaim(context, team, key, id, ClaimState::kReleased, "");
   }
--- a/Source/scheduler/config_state.cc
+++ b/Source/scheduler/config_state.cc
@@ -13,10 +13,10 @@
 
 constexpr char kConfigPrefix[] = "config/";
 constexpr Duration kWatchWait = std::chrono::seconds(20);
-constexpr Duration kWatchGrace = std::chrono::seconds(3);
+constexpr Duration kWatchTimeoutMargin = std::chrono::seconds(3);
 constexpr Duration kWriteTimeout = std::chrono::seconds(3);
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(200);
-constexpr Duration kLastBackoff = std::chrono::seconds(5);
+constexpr Duration kMinBackoff = std::chrono::milliseconds(200);
+constexpr Duration kMaxBackoff = std::chrono::seconds(5);
 constexpr Duration kPlatformRetryAfter = std::chrono::seconds(2);
 
 std::vector<std::string> ErrorLines(const SettingErrors& errors) {
@@ -28,12 +28,11 @@
   return lines;
 }
 
-// Tries the watch again later, later with each failure and never in step with
-// other processes: when the platform comes back it must not meet all of them
-// at once.
+// Retries the watch with exponential backoff and jitter, so that the processes
+// don't all call the platform at once when it is available again.
 void RetryWatch(Context& context) {
   ConfigState& config = context.state().config;
-  config.backoff = std::clamp(config.backoff * 2, kFirstBackoff, kLastBackoff);
+  config.backoff = std::clamp(config.backoff * 2, kMinBackoff, kMaxBackoff);
   config.retry_at = context.now() + context.Jitter(config.backoff);
   context.ScheduleAt(config.retry_at, TimerKind::kWatch);
 }
@@ -84,7 +83,7 @@
     return;
   }
   if (item.revision == purpose.expect) {
-    // The write may still be under way; only the operator can decide.
+    // The write may still be in progress; only the operator can decide.
     AnswerUnavailable(context, purpose.reply, true);
     return;
   }
@@ -98,15 +97,15 @@
 
 void ApplyConfig(Context& context, const ConfigView& view) {
   ConfigState& config = context.state().config;
-  if (view.revision <= config.seen) {
-    if (view.revision < config.seen) {
+  if (view.revision <= config.latest_revision) {
+    if (view.revision < config.latest_revision) {
       context.Log(EventNumber::kConfigurationRefusedOlder,
                   {{"revision", std::to_string(view.revision)},
                    {"in_force", std::to_string(config.view.revision)}});
     }
     return;
   }
-  config.seen = view.revision;
+  config.latest_revision = view.revision;
   const auto parsed = ParsePolicyDocument(view.document, view.revision);
   std::vector<std::string> errors;
   if (const auto* faults = std::get_if<SettingErrors>(&parsed)) {
@@ -131,8 +130,8 @@
   SetWriteBudget(context.state());
   context.Log(EventNumber::kConfigurationApplied,
               {{"revision", std::to_string(view.revision)}});
-  // Peers hear of it with the next digest; the sooner that goes out, the
-  // sooner the change is in force everywhere.
+  // Sends the document to the peers of the domain without waiting for the next
+  // digest, so that the change takes effect sooner.
   for (const auto& [id, peer] : context.state().membership.peers) {
     if (IsDomainPeer(context, peer) &&
         peer.digest.config_revision < view.revision) {
@@ -141,7 +140,7 @@
   }
 }
 
-void OnConfigAsked(Context& context, const ConfigRequested& asked) {
+void OnConfigRequested(Context& context, const ConfigRequested& asked) {
   const ConfigState& config = context.state().config;
   if (!config.loaded) {
     context.Answer(
@@ -198,8 +197,8 @@
                                            "platform's 1 MB for a value"}});
     return;
   }
-  // The answer was lost, perhaps after the write took effect. Writing again
-  // could overwrite another operator's later change; reading back can't.
+  // The reply was lost, and the write may have taken effect. A second write
+  // could overwrite a later change of another operator; reading back can't.
   const auto* lost = std::get_if<PlatformUnavailable>(&result);
   if (lost != nullptr && !lost->may_have_taken_effect) {
     AnswerUnavailable(context, purpose.reply, false);
@@ -211,37 +210,39 @@
 void OnWatchTimer(Context& context) {
   State& state = context.state();
   ConfigState& config = state.config;
-  // Until the platform or a peer has told both documents, each process asks
-  // for itself.
-  const bool must_ask = config.seen == 0 || !state.membership.has_instances;
-  if (!must_ask && !IsWatcher(context)) {
+  // Each process reads the platform itself until it has both documents, from
+  // the platform or from a peer.
+  const bool must_read =
+      config.latest_revision == 0 || !state.membership.has_instances;
+  if (!must_read && !IsWatcher(context)) {
     return;
   }
   if (context.now() < config.retry_at) {
     return;
   }
-  const Duration wait = must_ask ? Duration(0) : kWatchWait;
+  const Duration wait = must_read ? Duration(0) : kWatchWait;
   if (!config.watching) {
     config.watching = true;
-    const bool first = config.seen == 0;
+    const bool first = config.latest_revision == 0;
     if (first) {
-      context.CallPlatform(KvRange{.prefix = kConfigPrefix}, kWatchGrace,
-                           ConfigWatchPurpose{});
+      context.CallPlatform(KvRange{.prefix = kConfigPrefix},
+                           kWatchTimeoutMargin, ConfigWatchPurpose{});
     } else {
-      context.CallPlatform(
-          KvWatch{.prefix = kConfigPrefix, .after = config.seen, .wait = wait},
-          wait + kWatchGrace, ConfigWatchPurpose{});
+      context.CallPlatform(KvWatch{.prefix = kConfigPrefix,
+                                   .after = config.latest_revision,
+                                   .wait = wait},
+                           wait + kWatchTimeoutMargin, ConfigWatchPurpose{});
     }
   }
   if (!config.watching_instances) {
     config.watching_instances = true;
-    // The list may be known while the policy is still asked for.
+    // The list may be known while the policy is still missing.
     const Duration list_wait =
         state.membership.has_instances ? kWatchWait : wait;
     context.CallPlatform(
         InstancesWatch{.after = state.membership.instances.revision,
                        .wait = list_wait},
-        list_wait + kWatchGrace, InstancesWatchPurpose{});
+        list_wait + kWatchTimeoutMargin, InstancesWatchPurpose{});
   }
 }
 
@@ -258,12 +259,12 @@
       ApplyConfig(context, {.revision = it.revision, .document = it.value});
     }
   }
-  if (config.seen == 0) {
-    // Nothing has been stored yet. Taken for a success this would start the
-    // wait between tries anew each time, and each process would ask several
-    // times a second for as long as there is no policy.
-    if (!config.awaited) {
-      config.awaited = true;
+  if (config.latest_revision == 0) {
+    // No policy has been stored yet. If this counted as a success, it would
+    // reset the backoff each time, and each process would call the platform
+    // several times a second until there is a policy.
+    if (!config.absence_logged) {
+      config.absence_logged = true;
       context.Log(EventNumber::kConfigurationAwaited, {});
     }
     RetryWatch(context);
@@ -281,7 +282,7 @@
     RetryWatch(context);
     return;
   }
-  if (config.seen != 0) {
+  if (config.latest_revision != 0) {
     config.backoff = Duration(0);
   }
   ApplyInstances(context, *list);
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -13,11 +13,12 @@
 
 constexpr Duration kDrainInterval = std::chrono::milliseconds(200);
 constexpr Duration kOfferInterval = std::chrono::seconds(1);
-// Accepted jobs are durable: a peer takes their journal over also after this
-// process has exited. The hand-over is waited for only so long.
-constexpr Duration kJournalPatience = std::chrono::seconds(10);
-// The same for workers with running tasks when there is no member to take them.
-constexpr Duration kWorkerPatience = std::chrono::seconds(30);
+// How long the drain waits for the handover of journals. Accepted jobs are
+// durable: a peer can adopt their journal after this process has exited.
+constexpr Duration kJournalHandoverTimeout = std::chrono::seconds(10);
+// How long the drain waits for tasks on owned workers when there is no member
+// to hand the workers to.
+constexpr Duration kWorkerHandoverTimeout = std::chrono::seconds(30);
 
 void EmptyQueues(Context& context) {
   State& state = context.state();
@@ -61,7 +62,7 @@
   }
 }
 
-// On the workers that this process owns.
+// Whether no owned worker has an attempt.
 bool IsIdle(const State& state) {
   return std::all_of(state.ownership.workers.begin(),
                      state.ownership.workers.end(),
@@ -71,20 +72,21 @@
 bool IsComplete(const Context& context) {
   const State& state = context.state();
   const Duration spent = context.now() - state.drain.started;
-  const bool requests_done = state.requests.entries.empty();
-  const bool workers_gone = state.ownership.owned == 0 ||
-                            (state.membership.members.empty() &&
-                             (IsIdle(state) || spent > kWorkerPatience));
-  const bool nobody_adopts = state.membership.members.empty();
-  const bool jobs_gone = !HasUnfinishedJobs(state) ||
-                         (nobody_adopts && IsIdle(state)) ||
-                         spent > kJournalPatience;
-  return requests_done && workers_gone && jobs_gone;
+  const bool requests_finished = state.requests.entries.empty();
+  const bool workers_released =
+      state.ownership.owned == 0 ||
+      (state.membership.members.empty() &&
+       (IsIdle(state) || spent > kWorkerHandoverTimeout));
+  const bool has_no_adopter = state.membership.members.empty();
+  const bool jobs_released = !HasUnfinishedJobs(state) ||
+                             (has_no_adopter && IsIdle(state)) ||
+                             spent > kJournalHandoverTimeout;
+  return requests_finished && workers_released && jobs_released;
 }
 
 }  // namespace
 
-void OnDrainAsked(Context& context, const DrainRequested& asked) {
+void OnDrainRequested(Context& context, const DrainRequested& asked) {
   State& state = context.state();
   context.Answer(asked.reply, DrainStarted{});
   if (state.drain.draining) {
@@ -97,7 +99,8 @@
   for (auto& [id, worker] : state.ownership.workers) {
     UpdateOpen(context, worker);
   }
-  // The digest tells the peers at once; the review hands the workers over.
+  // The digest announces the drain to the peers at once; the drain timer hands
+  // the workers over.
   context.ScheduleAt(context.now(), TimerKind::kDigest);
   context.ScheduleAt(context.now(), TimerKind::kDrain);
 }
--- a/Source/scheduler/gangs.cc
+++ b/Source/scheduler/gangs.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/forwarding.h"
 
@@ -13,6 +13,7 @@
 
 constexpr std::uint32_t kMaxBackoffShift = 5;
 
+// How many tasks of a gang a peer has room for.
 struct PeerShare {
   std::string peer;
   std::int64_t places = 0;
@@ -22,7 +23,7 @@
   return job.queued == job.tasks.size();
 }
 
-// Places at peers of the domain, by their digests.
+// Returns the peers of the domain with room by their digests, largest first.
 std::vector<PeerShare> PeerShares(Context& context, const Resources& need) {
   std::vector<PeerShare> shares;
   for (const auto& [id, peer] : context.state().membership.peers) {
@@ -49,7 +50,7 @@
   State& state = context.state();
   Task& task = job.tasks[index];
   task.attempt = state.jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   WorkerRecord& worker =
       state.ownership.workers.at(state.placement.info(target).id);
   task.owner = context.self();
@@ -68,7 +69,7 @@
                 const std::string& peer) {
   job.tasks[index].attempt =
       context.state().jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   OfferTask(context, job, index, peer, true);
 }
 
@@ -89,14 +90,14 @@
          task.state == TaskState::kMayHaveRun;
 }
 
-// Tasks of a gang that has lost a member after another one had finished can't
-// be run together again.
+// Fails a gang that lost a task after another had ended: its tasks can't run
+// together again.
 void FailGang(Context& context, Job& job) {
   job.judged_failed = true;
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     if (job.tasks[it].state == TaskState::kQueued) {
       EndTask(context, job, it, TaskState::kFailed);
-    } else if (IsOut(job.tasks[it])) {
+    } else if (IsOutstanding(job.tasks[it])) {
       StopAttempt(context, job, it);
     }
   }
@@ -144,7 +145,7 @@
 }
 
 void OnGangTaskHeld(Context& context, Job& job) {
-  if (job.gang_running || job.settling) {
+  if (job.gang_running || job.recovering) {
     return;
   }
   const bool all_held =
@@ -154,7 +155,7 @@
     return;
   }
   job.gang_running = true;
-  job.went = true;
+  job.go_sent = true;
   job.hold_until = Time(0);
   context.Log(EventNumber::kGangStarted,
               {{"job", job.id}, {"tasks", std::to_string(job.tasks.size())}});
@@ -208,7 +209,7 @@
   }
 }
 
-void SettleGang(Context& context, Job& job) {
+void RecoverGang(Context& context, Job& job) {
   const bool all_run =
       std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& it) {
         return it.state == TaskState::kRunning || HasEnded(it);
@@ -217,8 +218,8 @@
     job.gang_running = true;
     return;
   }
-  job.gang_running = true;  // so that the backoff stops what was found
-  BackOffGang(context, job, "found in part after the takeover");
+  job.gang_running = true;  // makes BackOffGang stop the attempts found
+  BackOffGang(context, job, "not all tasks were found after adoption");
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/job_admission.cc
+++ b/Source/scheduler/job_admission.cc
@@ -24,13 +24,13 @@
   }
   const bool over_team =
       team->second.max_waiting > 0 &&
-      state.jobs.waiting + spec.count > team->second.max_waiting;
+      state.jobs.queued_tasks + spec.count > team->second.max_waiting;
   if (over_team) {
     return NotRun{.reason = Reason::kQuota,
                   .detail = "the team has too many tasks waiting",
                   .retry_after = RetryAfter(context, kPlatformRetryAfter)};
   }
-  if (state.jobs.waiting + spec.count >
+  if (state.jobs.queued_tasks + spec.count >
       context.policy().admission.max_queue_tasks) {
     return NotRun{.reason = Reason::kOverloaded,
                   .detail = "too many tasks are waiting",
@@ -39,8 +39,8 @@
   return std::nullopt;
 }
 
-// Work that fits no worker would wait for ever; it is refused with the
-// dimension that does not fit.
+// Refuses work that fits no worker, which would stay queued forever, and names
+// the dimension that does not fit.
 std::optional<NotRun> RefusalByFit(Context& context, const JobSpec& spec) {
   std::int64_t places = 0;
   Resources largest;
@@ -173,7 +173,7 @@
                   ClaimState::kAccepted, "");
     }
     job->queued = job->spec.count;
-    context.state().jobs.waiting += job->spec.count;
+    context.state().jobs.queued_tasks += job->spec.count;
     if (job->spec.deadline > Duration(0)) {
       context.ScheduleAt(job->arrived + job->spec.deadline,
                          TimerKind::kJobDeadline, id);
@@ -186,8 +186,8 @@
                 ClaimState::kReleased, "");
   }
   if (outcome == AppendOutcome::kUnknown) {
-    // The record may stand. Erasing it behind itself keeps the job from being
-    // run later by this journal's next writer, as far as that can be done.
+    // The record may have been written. The erase record, appended on a
+    // best-effort basis, keeps the journal's next writer from running the job.
     AppendTo(context, job->log,
              {.key = RecordOfJob(*job).key, .kind = kEraseKind}, {},
              std::nullopt);
@@ -210,8 +210,9 @@
   if (!job->recorded) {
     const auto log = context.state().logs.find(job->log);
     if (job->accept_ticket != 0 && log != context.state().logs.end()) {
-      RunLedger(context, job->log,
-                log->second.log->GiveUp(job->accept_ticket, context.now()));
+      ApplyLedgerProgress(
+          context, job->log,
+          log->second.log->GiveUp(job->accept_ticket, context.now()));
       return;
     }
     GiveUpClaim(context, job->spec.team, job->spec.key, id, job->claim_ticket);
--- a/Source/scheduler/job_records.cc
+++ b/Source/scheduler/job_records.cc
@@ -9,7 +9,7 @@
 #include <json/value.h>
 
 #include "net/json.h"
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "wire/record_codec.h"
 
@@ -146,7 +146,7 @@
   }
 }
 
-void OrphanUnended(Context& context, Job& job) {
+void OrphanUnfinishedTasks(Context& context, Job& job) {
   for (Task& it : job.tasks) {
     if (it.state == TaskState::kQueued) {
       it.state = TaskState::kOrphaned;
@@ -166,7 +166,7 @@
 LogRecord RecordOfJob(const Job& job) {
   Json::Value value(Json::objectValue);
   if (job.finished) {
-    // Only its status is asked for from here on.
+    // Only the status of a finished job is needed.
     JobSpec spec = job.spec;
     spec.payload.clear();
     value["spec"] = JobSpecToJson(spec);
@@ -178,9 +178,10 @@
 }
 
 LogRecord RecordOfEnd(const Job& job, std::uint32_t task) {
-  // An array, as each quote of a member's name would be escaped twice.
+  // An array is shorter: the quotes of an object's member names would be
+  // escaped twice.
   Json::Value value(Json::arrayValue);
-  value.append(NameOfEnd(job.tasks[task].end));
+  value.append(NameOfEnd(job.tasks[task].final_state));
   value.append(job.tasks[task].answer);
   return {.key = TaskKey(kEndPrefix, job, task),
           .kind = "end",
@@ -223,7 +224,7 @@
 namespace {
 
 // A finished job's tasks without a recorded end were cancelled.
-void CloseUnended(Job& job) {
+void CancelUnfinishedTasks(Job& job) {
   for (Task& it : job.tasks) {
     if (it.state == TaskState::kQueued) {
       it.state = TaskState::kCancelled;
@@ -265,12 +266,12 @@
   for (const std::string& it : ids) {
     Job& job = jobs.jobs.at(it);
     if (job.finished) {
-      CloseUnended(job);
-      context.ScheduleAfter(kFinishedKept, TimerKind::kForgetJob, it);
+      CancelUnfinishedTasks(job);
+      context.ScheduleAfter(kFinishedJobRetention, TimerKind::kForgetJob, it);
     } else {
-      OrphanUnended(context, job);
-      job.settling = true;
-      job.went = true;
+      OrphanUnfinishedTasks(context, job);
+      job.recovering = true;
+      job.go_sent = true;
       ++unfinished;
       FinishIfDone(context, job);
     }
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/job_admission.h"
 #include "scheduler/job_records.h"
@@ -21,13 +21,14 @@
 constexpr Duration kLedgerTimeout = std::chrono::seconds(3);
 constexpr Duration kScanTimeout = std::chrono::seconds(10);
 constexpr Duration kScanInterval = std::chrono::seconds(60);
-constexpr Duration kUnlistedPatience = std::chrono::seconds(3);
+constexpr Duration kUnlistedTimeout = std::chrono::seconds(3);
 constexpr Duration kScanRetry = std::chrono::seconds(2);
 constexpr Duration kEmptyJournalCheck = std::chrono::seconds(30);
-// Between two adopters' generations; a writer itself raises its generation by
-// one with each attempt search.
+// Distance between the generations of two adopters; a writer increments its own
+// generation with each attempt search.
 constexpr std::uint64_t kGenerationStep = std::uint64_t{1} << 20U;
-// Attempt numbers of a later generation are higher than all of an earlier one.
+// Makes the attempt numbers of a generation higher than those of all earlier
+// ones.
 constexpr std::uint64_t kAttemptsShift = 30;
 
 SlotLogOptions JournalOptions(Context& context, const std::string& name) {
@@ -43,8 +44,8 @@
   };
 }
 
-// The adopted journal is this process's now: its jobs go on.
-void BeginAdopted(Context& context, const std::string& name) {
+// Loads the jobs of an adopted journal, once its new generation is durable.
+void StartAdoptedJournal(Context& context, const std::string& name) {
   State& state = context.state();
   Journal& journal = state.jobs.journals.at(name);
   if (journal.ready) {
@@ -76,7 +77,7 @@
     OnClaimAppended(context, claim->id, outcome);
   } else if (const auto* own = std::get_if<GenerationAppend>(&purpose)) {
     if (outcome == AppendOutcome::kCommitted) {
-      BeginAdopted(context, own->log);
+      StartAdoptedJournal(context, own->log);
     }
   } else if (const auto* check = std::get_if<CheckAppend>(&purpose)) {
     if (outcome == AppendOutcome::kCommitted) {
@@ -96,8 +97,8 @@
   journal.adopted = true;
   journal.generation = before + kGenerationStep;
   journal.next_attempt = journal.generation << kAttemptsShift;
-  // Durable before the first use: a third process that adopts the journal
-  // after this one must come to a higher generation.
+  // The generation must be durable before its first use: a process that adopts
+  // the journal after this one must get a higher generation.
   AppendTo(context, name, RecordOfGeneration(journal), {.urgent = true},
            GenerationAppend{.log = name});
 }
@@ -114,14 +115,14 @@
   }
 }
 
-// The process that made the journal, "INSTANCE" and "INCARNATION"; the name
-// ends "INCARNATION-NUMBER".
-struct JournalMaker {
+// The process that created a journal, from the journal's name, which ends in
+// "INSTANCE.INCARNATION-NUMBER".
+struct JournalCreator {
   std::string instance;
   std::string incarnation;
 };
 
-JournalMaker MakerOf(const std::string& name, const std::string& domain) {
+JournalCreator CreatorOf(const std::string& name, const std::string& domain) {
   const std::size_t start = sizeof(kJournalPrefix) - 1 + domain.size() + 1;
   const std::size_t split = name.rfind('.');
   if (split == std::string::npos || split < start) {
@@ -141,22 +142,22 @@
     state.jobs.unlisted.erase(name);
     return true;
   }
-  // The maker lists its journal in its digest, unless it was made just now or
-  // another process has taken it over and died since.
-  const JournalMaker maker = MakerOf(name, state.self.domain);
-  const auto it = state.membership.peers.find(maker.instance);
-  const bool maker_lives = it != state.membership.peers.end() &&
-                           it->second.alive &&
-                           it->second.incarnation == maker.incarnation;
-  if (!maker_lives) {
+  // The creator lists its journal in its digest, unless it has just created the
+  // journal, or another process adopted it and was lost since.
+  const JournalCreator creator = CreatorOf(name, state.self.domain);
+  const auto it = state.membership.peers.find(creator.instance);
+  const bool creator_is_alive = it != state.membership.peers.end() &&
+                                it->second.alive &&
+                                it->second.incarnation == creator.incarnation;
+  if (!creator_is_alive) {
     return false;
   }
   const auto [since, inserted] =
       state.jobs.unlisted.emplace(name, context.now());
   if (inserted) {
-    context.ScheduleAfter(kUnlistedPatience, TimerKind::kOrphanScan);
+    context.ScheduleAfter(kUnlistedTimeout, TimerKind::kOrphanScan);
   }
-  return context.now() - since->second < kUnlistedPatience;
+  return context.now() - since->second < kUnlistedTimeout;
 }
 
 bool IsChosenAdopter(Context& context, const std::string& name) {
@@ -203,7 +204,7 @@
   if (!jobs.own_journal.empty()) {
     return jobs.journals.at(jobs.own_journal);
   }
-  // A name is used once: a journal that was taken over is another's.
+  // A name is never reused: an adopted journal belongs to its adopter.
   jobs.own_journal = JournalName(
       state.self.domain, state.self.instance,
       state.self.incarnation + "-" + std::to_string(++jobs.own_journals));
@@ -213,7 +214,7 @@
   journal.ready = true;
   journal.next_attempt = journal.generation << kAttemptsShift;
   OpenLog& open = AddLog(context, JournalOptions(context, name));
-  RunLedger(context, name, open.log->Create(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Create(context.now()));
   return jobs.journals.at(name);
 }
 
@@ -236,7 +237,9 @@
   return ticket;
 }
 
-void RunLedger(Context& context, std::string name, LedgerProgress progress) {
+void ApplyLedgerProgress(Context& context,
+                         std::string name,
+                         LedgerProgress progress) {
   State& state = context.state();
   for (LedgerCall& it : progress.calls) {
     context.CallPlatform(std::move(it.operation), kLedgerTimeout,
@@ -264,7 +267,8 @@
   } else if (progress.closed) {
     context.ScheduleAfter(log.PurgeDelay(), TimerKind::kJournal, name);
   } else if (progress.opened) {
-    RunLedger(context, name, state.logs.at(name).log->Adopt(context.now()));
+    ApplyLedgerProgress(context, name,
+                        state.logs.at(name).log->Adopt(context.now()));
   }
   if (progress.adopted) {
     OnAdopted(context, name);
@@ -281,7 +285,7 @@
     return;
   }
   it->second.timer_at = kForever;
-  RunLedger(context, name, it->second.log->OnTime(context.now()));
+  ApplyLedgerProgress(context, name, it->second.log->OnTime(context.now()));
 }
 
 void AdoptJournal(Context& context, const std::string& name) {
@@ -291,7 +295,7 @@
     return;
   }
   OpenLog& open = AddLog(context, JournalOptions(context, name));
-  RunLedger(context, name, open.log->Open(context.now()));
+  ApplyLedgerProgress(context, name, open.log->Open(context.now()));
 }
 
 void OnOrphanScanTimer(Context& context) {
@@ -361,7 +365,7 @@
   SlotLog& log = *it->second.log;
   if (log.is_closed()) {
     context.ScheduleAfter(kEmptyJournalCheck, TimerKind::kJournal, name);
-    RunLedger(context, name, log.Purge(context.now()));
+    ApplyLedgerProgress(context, name, log.Purge(context.now()));
     return;
   }
   const bool is_empty = std::all_of(
@@ -373,7 +377,7 @@
     AppendTo(context, name, {.key = kGenerationKey, .kind = kEraseKind}, {},
              std::nullopt);  // closed at the next check
   } else if (may_close) {
-    RunLedger(context, name, log.Close(context.now()));
+    ApplyLedgerProgress(context, name, log.Close(context.now()));
   }
   context.ScheduleAfter(kEmptyJournalCheck, TimerKind::kJournal, name);
 }
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/journal_check.h"
 #include "scheduler/request_admission.h"
@@ -56,7 +56,7 @@
          .waiting = static_cast<std::int64_t>(waiting)});
   }
   digest.free = state.placement.total_free();
-  digest.waiting_tasks = state.jobs.waiting;
+  digest.waiting_tasks = state.jobs.queued_tasks;
   digest.owned = state.ownership.owned;
   digest.config_revision = state.config.view.revision;
   digest.instances_revision = state.membership.instances.revision;
@@ -105,7 +105,7 @@
       const Task& task = job.tasks[it];
       // This includes a task that is being stopped: the stop may be lost with
       // the peer, and the job would wait forever for the task's end.
-      if (IsOut(task) && task.owner == id) {
+      if (IsOutstanding(task) && task.owner == id) {
         OrphanTask(context, job, it);
       }
     }
@@ -276,18 +276,18 @@
     CheckOwnership(context);
   }
   const bool is_behind =
-      digest.config_revision > state.config.seen ||
+      digest.config_revision > state.config.latest_revision ||
       digest.instances_revision > state.membership.instances.revision;
   if (is_behind && context.now() - peer.pulled_at >= kPullInterval) {
     peer.pulled_at = context.now();
     context.Send(received.from,
-                 PullDocuments{.config_revision = state.config.seen,
+                 PullDocuments{.config_revision = state.config.latest_revision,
                                .instances_revision =
                                    state.membership.instances.revision});
   }
   PumpRequests(context);
-  if (state.jobs.waiting > 0) {
-    state.tasks.wanted = true;
+  if (state.jobs.queued_tasks > 0) {
+    state.tasks.pass_needed = true;
   }
 }
 
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/gangs.h"
 #include "scheduler/job_admission.h"
@@ -53,7 +53,7 @@
     TimerRow{TimerKind::kJobDeadline, OnJobDeadline},
     TimerRow{TimerKind::kSchedule,
              [](Context& context, const std::string&) {
-               context.state().tasks.wanted = true;
+               context.state().tasks.pass_needed = true;
              }},
     TimerRow{
         TimerKind::kDrain,
@@ -125,10 +125,10 @@
     ApplyInstances(context, message.list);
   }
   void operator()(const AskWork& message) const {
-    OnAskWork(context, received.from, message);
+    OnPeerWorkQuery(context, received.from, message);
   }
   void operator()(const AskWorkAnswer& message) const {
-    OnAskWorkAnswer(context, message);
+    OnPeerWorkReply(context, message);
   }
 };
 
@@ -148,7 +148,7 @@
   void operator()(const LedgerPurpose& purpose) const {
     const auto it = context.state().logs.find(purpose.log);
     if (it != context.state().logs.end()) {
-      RunLedger(
+      ApplyLedgerProgress(
           context, purpose.log,
           it->second.log->OnAnswer(purpose.ledger_call, result, context.now()));
     }
@@ -200,18 +200,17 @@
   void operator()(const JobArrived& event) const {
     OnJobArrived(context, event);
   }
-  void operator()(const WorkQueryArrived& event) const {
-    OnWorkAsked(context, event);
+  void operator()(const WorkQueryArrived& event) const { OnWorkQuery(context, event);
   }
   void operator()(const CallerDisconnected& /*event*/) const {}
   void operator()(const ConfigRequested& event) const {
-    OnConfigAsked(context, event);
+    OnConfigRequested(context, event);
   }
   void operator()(const ConfigProposed& event) const {
     OnConfigProposed(context, event);
   }
   void operator()(const DrainRequested& event) const {
-    OnDrainAsked(context, event);
+    OnDrainRequested(context, event);
   }
   void operator()(const PlatformAnswered& event) const {
     auto& calls = context.state().calls.platform;
@@ -277,7 +276,7 @@
   Context context(state, event.now, effects);
   *state.wall_ms = state.self.wall_start_ms + ToMilliseconds(event.now);
   std::visit(EventHandler{.context = context}, event.body);
-  if (state.tasks.wanted) {
+  if (state.tasks.pass_needed) {
     PlaceTasks(context);
   }
   EraseDroppedLogs(state);
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/gangs.h"
 
@@ -220,9 +220,9 @@
       all_settled = false;
       continue;
     }
-    if (std::exchange(job->settling, false) && !job->finished &&
+    if (std::exchange(job->recovering, false) && !job->finished &&
         !job->cancelled && job->spec.kind == JobKind::kGang) {
-      SettleGang(context, *job);
+      RecoverGang(context, *job);
     }
   }
   return all_settled;
--- a/Source/scheduler/task_exchange.cc
+++ b/Source/scheduler/task_exchange.cc
@@ -1,9 +1,9 @@
-// The messages between the writer of a job's journal and the owners of the
-// workers that its tasks run on.
+// Exchanges messages between the writer of a job's journal and the owners of
+// the workers that run its tasks.
 #include <algorithm>
 #include <utility>
 
-#include "scheduler/attempt_news.h"
+#include "scheduler/attempt_updates.h"
 #include "scheduler/context.h"
 #include "scheduler/job_status.h"
 #include "scheduler/request_admission.h"
@@ -13,13 +13,14 @@
 
 namespace {
 
-constexpr Duration kOfferRepeat = std::chrono::seconds(1);
-constexpr Duration kEndRepeat = std::chrono::seconds(1);
-constexpr Duration kStoppedEarlyKept = std::chrono::seconds(60);
-constexpr Duration kMovedKept = std::chrono::minutes(10);
-// The reason of a refusal that says: it may run, but not under this owner.
+constexpr Duration kOfferRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEndRepeatInterval = std::chrono::seconds(1);
+constexpr Duration kEarlyStopRetention = std::chrono::seconds(60);
+constexpr Duration kMovedRetention = std::chrono::minutes(10);
+// Reason of a refusal: the attempt may be running, but under another owner.
 constexpr char kMoved[] = "moved";
-// It is not here, and an offer that is still on its way will be refused.
+// Reason of a refusal: the attempt is not here, and an offer of it that is
+// still in transit will be refused.
 constexpr char kStopped[] = "stopped";
 
 AttemptReport ReportOf(const Booking& booking) {
@@ -44,7 +45,7 @@
       TaskRefused{.sequence = sequence, .attempt = attempt, .reason = why});
 }
 
-// Why an offer must not be taken; empty when it may be.
+// Returns the reason to refuse an offer; empty when it may be accepted.
 std::string OfferProblem(Context& context, const TaskOffer& offer) {
   State& state = context.state();
   const auto fence = state.jobs.fences.find(LogOfJob(offer.attempt.job));
@@ -65,18 +66,18 @@
     const Task& task = job.tasks[it];
     const bool waits = task.state == TaskState::kStarting &&
                        !task.owner.empty() && task.owner != context.self() &&
-                       context.now() - task.offered >= kOfferRepeat;
+                       context.now() - task.last_sent >= kOfferRepeatInterval;
     if (waits) {
       OfferTask(context, job, it, task.owner, job.spec.kind == JobKind::kGang);
     }
   }
 }
 
-// Stops and goes are repeated until the attempt's news shows their effect.
+// Repeats stops and goes until an update of the attempt shows their effect.
 void RepeatStops(Context& context, Job& job) {
   for (std::uint32_t it = 0; it < job.tasks.size(); ++it) {
     const Task& task = job.tasks[it];
-    if (context.now() - task.offered < kOfferRepeat) {
+    if (context.now() - task.last_sent < kOfferRepeatInterval) {
       continue;
     }
     if (task.state == TaskState::kStopping) {
@@ -129,7 +130,7 @@
   Task& task = job.tasks[index];
   task.owner = peer;
   task.worker.clear();
-  task.offered = context.now();
+  task.last_sent = context.now();
   task.offer_sequence = ++target.offer_sequence;
   target.offered_resources += job.spec.resources;
   context.Send(
@@ -150,9 +151,9 @@
                  const TaskOffer& offer) {
   State& state = context.state();
   Peer& peer = state.membership.peers.at(from);
-  // A doubled or overtaken offer is dropped without an answer: the attempt may
-  // have started and ended since, and would start again. An offer that was
-  // really lost is repeated under a new sequence.
+  // A duplicate or reordered offer is dropped without a reply: its attempt may
+  // have started and ended meanwhile, and would start again. An offer that was
+  // lost is repeated under a new sequence number.
   if (offer.to_incarnation != state.self.incarnation ||
       offer.sequence <= peer.accepted_sequence) {
     return;
@@ -163,7 +164,7 @@
     Booking& booking = holder->bookings.at(offer.attempt);
     booking.offer_sequence = offer.sequence;
     if (booking.confirmed != Time(0)) {
-      TellWriter(context, *holder, booking);
+      ReportToWriter(context, *holder, booking);
     }
     return;
   }
@@ -198,7 +199,7 @@
   Job* job = JobOfAttempt(context, refused.attempt, &task);
   if (refused.reason == kMoved) {
     if (job != nullptr && task->attempt == refused.attempt.number &&
-        task->owner == from && IsOut(*task)) {
+        task->owner == from && IsOutstanding(*task)) {
       OrphanTask(context, *job, refused.attempt.task);
     }
     return;
@@ -211,8 +212,8 @@
     OnAttemptNotStarted(context, refused.attempt, refused.reason);
     return;
   }
-  // Only the answer to the last offer counts: an earlier one may have been
-  // refused and a later one taken.
+  // Only the reply to the latest offer counts: an earlier offer may have been
+  // refused and a later one accepted.
   const bool is_current =
       job != nullptr && task->attempt == refused.attempt.number &&
       task->owner == from && task->offer_sequence == refused.sequence &&
@@ -234,28 +235,28 @@
     }
     return;
   }
-  context.state().jobs.moved[booking.attempt] = context.now() + kMovedKept;
+  context.state().jobs.moved[booking.attempt] = context.now() + kMovedRetention;
   Refuse(context, booking.offered_by, booking.offer_sequence, booking.attempt,
          kMoved);
 }
 
-void OnStartDone(Context& context,
-                 WorkerRecord& worker,
-                 const AttemptId& attempt) {
+void OnStartAccepted(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt) {
   Booking& booking = worker.bookings.at(attempt);
   booking.unverified = false;
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void OnStartNotDone(Context& context,
-                    WorkerRecord& worker,
-                    const AttemptId& attempt,
-                    const std::string& why) {
+void OnStartRejected(Context& context,
+                     WorkerRecord& worker,
+                     const AttemptId& attempt,
+                     const std::string& why) {
   const Booking booking = worker.bookings.at(attempt);
   EraseBooking(context, worker, attempt);
   if (why == "no_room") {
-    // The worker has less room than the books say: what it runs is asked for
-    // before anything more is given to it.
+    // The worker has less free capacity than its bookings imply. It gets no
+    // more starts until it has reported what it runs.
     worker.suspect = true;
     UpdateOpen(context, worker);
     RenewNow(context, worker);
@@ -272,7 +273,7 @@
                    const AttemptReport& report) {
   const auto it = worker.bookings.find(report.attempt);
   if (it != worker.bookings.end() && it->second.state == AttemptState::kEnded) {
-    return;  // told already; repeated until acknowledged
+    return;  // reported already; repeated until acknowledged
   }
   if (it == worker.bookings.end()) {
     AddBooking(context, worker,
@@ -284,7 +285,7 @@
   Booking& booking = worker.bookings.at(report.attempt);
   if (booking.holds_room && worker.index) {
     context.state().placement.Give(*worker.index, booking.resources);
-    context.state().tasks.wanted = true;
+    context.state().tasks.pass_needed = true;
   }
   booking.holds_room = false;
   booking.unverified = false;
@@ -302,12 +303,12 @@
                             : report.attempt.job,
                      failed, job != nullptr && job->bad);
   }
-  TellWriter(context, worker, booking);
+  ReportToWriter(context, worker, booking);
 }
 
-void TellWriter(Context& context,
-                const WorkerRecord& worker,
-                Booking& booking) {
+void ReportToWriter(Context& context,
+                    const WorkerRecord& worker,
+                    Booking& booking) {
   booking.end_reported_at = context.now();
   const AttemptReport report = ReportOf(booking);
   const std::string log = LogOfJob(report.attempt.job);
@@ -322,7 +323,7 @@
     }
     return;
   }
-  // Without a known writer the end is told again later.
+  // Without a known writer, OnOffersTimer reports the end again later.
   if (!writer.empty()) {
     context.Send(writer, TaskUpdate{.report = report, .worker = id});
   }
@@ -388,8 +389,8 @@
     Refuse(context, from, 0, attempt, kMoved);
     return;
   }
-  // The offer may still be on its way.
-  jobs.stopped_early[attempt] = context.now() + kStoppedEarlyKept;
+  // The offer may still be in transit.
+  jobs.stopped_early[attempt] = context.now() + kEarlyStopRetention;
   Refuse(context, from, 0, attempt, kStopped);
 }
 
@@ -397,7 +398,7 @@
   Task& task = job.tasks[index];
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   task.state = TaskState::kStopping;
-  task.offered = context.now();
+  task.last_sent = context.now();
   if (task.owner == context.self() &&
       FindBooking(context, attempt) != nullptr) {
     OnTaskStop(context, context.self(), attempt);
@@ -412,7 +413,7 @@
 
 void GoAttempt(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
-  task.offered = context.now();
+  task.last_sent = context.now();
   const AttemptId attempt{.job = job.id, .task = index, .number = task.attempt};
   if (task.owner.empty() || task.owner == context.self()) {
     OnTaskGo(context, attempt);
@@ -430,17 +431,17 @@
     }
   }
   for (auto& [id, worker] : state.ownership.workers) {
-    std::vector<AttemptId> untold;
+    std::vector<AttemptId> unacknowledged;
     for (const auto& [attempt, booking] : worker.bookings) {
       if (booking.state == AttemptState::kEnded &&
-          context.now() - booking.end_reported_at >= kEndRepeat) {
-        untold.push_back(attempt);
+          context.now() - booking.end_reported_at >= kEndRepeatInterval) {
+        unacknowledged.push_back(attempt);
       }
     }
-    for (const AttemptId& it : untold) {
+    for (const AttemptId& it : unacknowledged) {
       const auto booking = worker.bookings.find(it);
       if (booking != worker.bookings.end()) {
-        TellWriter(context, worker, booking->second);
+        ReportToWriter(context, worker, booking->second);
       }
     }
   }
@@ -449,8 +450,8 @@
   std::erase_if(state.jobs.moved,
                 [&](const auto& it) { return it.second < context.now(); });
   ForgetOldForwards(context);
-  ExpireAsks(context);
-  context.ScheduleAfter(kOfferRepeat, TimerKind::kOffers);
+  ExpireForwardedQueries(context);
+  context.ScheduleAfter(kOfferRepeatInterval, TimerKind::kOffers);
 }
 
 }  // namespace burdockrock
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-// Bounds of one pass, so that no event keeps the process busy for long. What
-// is left is placed in the next pass, which follows at once.
+// Limits of one pass, which keep the step short. A pass that reaches the limit
+// of starts is followed by another at once.
 constexpr std::size_t kMaxStartsPerPass = 256;
 constexpr std::size_t kMaxBlockedPerPass = 64;
 
@@ -25,15 +25,18 @@
   auto operator<=>(const PassTeam&) const = default;
 };
 
+// The state of one placement pass.
 struct Pass {
   std::size_t starts = 0;
   std::size_t blocked = 0;
-  // Sizes that were found not to fit: neither does anything larger.
+  // Sizes that fit nowhere; anything larger doesn't fit either.
   std::vector<Resources> misfits;
   std::array<std::set<PassTeam>, kUrgencyCount> teams;
+  // The next job to try, by class and team.
   std::array<std::map<std::string, std::size_t>, kUrgencyCount> cursors;
 };
 
+// The team's dominant share of the capacity, divided by its weight.
 double UsageOf(const Context& context, const std::string& team) {
   const State& state = context.state();
   const auto usage = state.jobs.team_usage.find(team);
@@ -55,9 +58,9 @@
   return share / std::max(weight, 0.001);
 }
 
-// A team's quota is split evenly over the live entry instances, without
-// asking anyone at each start. A share is never less than one task, so that a
-// small quota does not keep a team from running at all.
+// A team's quota is split evenly over the live entry instances, so that a start
+// needs no message to another member. A share is at least one task; otherwise a
+// small quota would keep the team from running anything.
 bool WithinQuota(Context& context, const Job& job) {
   const auto policy = context.policy().teams.find(job.spec.team);
   if (policy == context.policy().teams.end()) {
@@ -112,7 +115,7 @@
     return true;
   }
   task.attempt = state.jobs.journals.at(job.log).next_attempt++;
-  NoteDispatched(context, job, index);
+  ChargeTeam(context, job, index);
   if (!local) {
     OfferTask(context, job, index, peer, false);
     return true;
@@ -129,33 +132,35 @@
   return true;
 }
 
-enum class Tried { kStarted, kBlocked, kNothingLeft };
+enum class TryResult { kStarted, kBlocked, kNothingLeft };
 
-Tried TryJob(Context& context, Pass& pass, Job& job) {
+TryResult TryJob(Context& context, Pass& pass, Job& job) {
   if (job.cancelled || job.finished || job.queued == 0) {
-    return Tried::kNothingLeft;
+    return TryResult::kNothingLeft;
   }
   if (context.now() < job.retry_at || !WithinQuota(context, job)) {
-    return Tried::kBlocked;
+    return TryResult::kBlocked;
   }
   if (job.spec.kind == JobKind::kGang) {
-    return AssembleGang(context, job) ? Tried::kNothingLeft : Tried::kBlocked;
+    return AssembleGang(context, job) ? TryResult::kNothingLeft
+                                      : TryResult::kBlocked;
   }
   const auto index = NextTask(job);
   if (!index) {
-    return Tried::kNothingLeft;
+    return TryResult::kNothingLeft;
   }
   if (IsKnownMisfit(pass, job.spec.resources)) {
-    return Tried::kBlocked;
+    return TryResult::kBlocked;
   }
   if (PlaceTask(context, job, *index)) {
-    return job.queued == 0 ? Tried::kNothingLeft : Tried::kStarted;
+    return job.queued == 0 ? TryResult::kNothingLeft : TryResult::kStarted;
   }
   pass.misfits.push_back(job.spec.resources);
-  return Tried::kBlocked;
+  return TryResult::kBlocked;
 }
 
-// Tries the jobs of a class until one task is started. False when none can.
+// Tries the jobs of a class until one task is started. Returns false if none
+// can be.
 bool PlaceOne(Context& context, Pass& pass, std::size_t which) {
   State& state = context.state();
   auto& teams = pass.teams[which];
@@ -168,19 +173,19 @@
       continue;
     }
     Job* job = FindJob(context, jobs[cursor]);
-    const Tried tried =
-        job == nullptr ? Tried::kNothingLeft : TryJob(context, pass, *job);
-    if (tried == Tried::kNothingLeft) {
+    const TryResult result =
+        job == nullptr ? TryResult::kNothingLeft : TryJob(context, pass, *job);
+    if (result == TryResult::kNothingLeft) {
       if (job != nullptr) {
         job->in_queue = false;
       }
       jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(cursor));
-    } else if (tried == Tried::kBlocked) {
+    } else if (result == TryResult::kBlocked) {
       ++cursor;
       ++pass.blocked;
     }
     teams.insert({.usage = UsageOf(context, first.team), .team = first.team});
-    if (tried == Tried::kStarted) {
+    if (result == TryResult::kStarted) {
       return true;
     }
   }
@@ -198,8 +203,9 @@
   }
 }
 
-// Urgent work first, but a share of the starts is offered to the classes below
-// before it, so that they are delayed and not starved.
+// Places urgent work first, except that a share of the starts (urgency's
+// batch_share) goes to the lower classes first, which prevents their
+// starvation.
 bool PlaceNext(Context& context, Pass& pass) {
   TaskQueue& queue = context.state().tasks;
   const double share = context.policy().urgency.batch_share;
@@ -229,7 +235,7 @@
 
 void RecordDispatch(Context& context, Job& job, std::uint32_t index) {
   --job.queued;
-  --context.state().jobs.waiting;
+  --context.state().jobs.queued_tasks;
   job.tasks[index].state = TaskState::kDispatching;
   AppendTo(context, job.log, RecordOfDispatch(job, index), {.urgent = true},
            DispatchAppend{.job = job.id, .task = index});
@@ -237,7 +243,7 @@
 
 void QueueJob(Context& context, Job& job) {
   State& state = context.state();
-  state.tasks.wanted = true;
+  state.tasks.pass_needed = true;
   if (job.in_queue) {
     return;
   }
@@ -248,8 +254,9 @@
 
 void PlaceTasks(Context& context) {
   State& state = context.state();
-  state.tasks.wanted = false;
-  if (state.jobs.waiting == 0 || state.drain.draining || !IsServing(context)) {
+  state.tasks.pass_needed = false;
+  if (state.jobs.queued_tasks == 0 || state.drain.draining ||
+      !IsServing(context)) {
     return;
   }
   Pass pass;
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -39,18 +39,18 @@
                  const WorkQueryArrived& asked,
                  const std::string& writer) {
   Jobs& jobs = context.state().jobs;
-  const std::uint64_t query_id = jobs.next_ask++;
-  jobs.asks.emplace(query_id, OpenAsk{.reply = asked.reply,
-                                 .id = asked.id,
-                                 .cancel = asked.cancel,
-                                 .until = context.now() + kQueryTimeout});
+  const std::uint64_t query_id = jobs.next_query++;
+  jobs.forwarded_queries.emplace(query_id, ForwardedQuery{.reply = asked.reply,
+                          .id = asked.id,
+                          .cancel = asked.cancel,
+                          .deadline = context.now() + kQueryTimeout});
   context.Send(writer,
                AskWork{.ask = query_id, .id = asked.id, .cancel = asked.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkQueryArrived& asked) {
+void OnWorkQuery(Context& context, const WorkQueryArrived& asked) {
   const auto request = asked.cancel ? CancelRequest(context, asked.id)
                                     : RequestStatus(context, asked.id);
   if (request) {
@@ -80,7 +80,9 @@
   QueryWriter(context, asked, writer);
 }
 
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
+void OnPeerWorkQuery(Context& context,
+                     const std::string& from,
+                     const AskWork& ask) {
   Job* job = FindJob(context, ask.id);
   if (job == nullptr) {
     const bool writes =
@@ -91,7 +93,7 @@
   }
   if (ask.cancel) {
     job->cancel_peer = from;
-    job->cancel_ask = ask.ask;
+    job->cancel_query = ask.ask;
     CancelJob(context, *job);
     return;
   }
@@ -102,11 +104,12 @@
 
 // The writer may be lost together with the query: its caller is answered that
 // it has to repeat the query. A cancellation may have been executed.
-void ExpireAsks(Context& context) {
+void ExpireForwardedQueries(Context& context) {
   Jobs& jobs = context.state().jobs;
-  for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
-    const OpenAsk& ask = it->second;
-    if (context.now() < ask.until) {
+  for (auto it = jobs.forwarded_queries.begin();
+       it != jobs.forwarded_queries.end();) {
+    const ForwardedQuery& ask = it->second;
+    if (context.now() < ask.deadline) {
       ++it;
       continue;
     }
@@ -122,18 +125,18 @@
                                "answer; cancel again"};
     }
     context.Answer(ask.reply, WorkAnswer{.id = ask.id, .verdict = verdict});
-    it = jobs.asks.erase(it);
+    it = jobs.forwarded_queries.erase(it);
   }
 }
 
-void OnAskWorkAnswer(Context& context, const AskWorkAnswer& answer) {
+void OnPeerWorkReply(Context& context, const AskWorkAnswer& answer) {
   Jobs& jobs = context.state().jobs;
-  const auto it = jobs.asks.find(answer.ask);
-  if (it == jobs.asks.end()) {
+  const auto it = jobs.forwarded_queries.find(answer.ask);
+  if (it == jobs.forwarded_queries.end()) {
     return;  // duplicate
   }
-  const OpenAsk ask = it->second;
-  jobs.asks.erase(it);
+  const ForwardedQuery ask = it->second;
+  jobs.forwarded_queries.erase(it);
   if (!answer.found && !answer.writes) {
     // The journal has just moved to another writer, which may have the job.
     AnswerWriterUnknown(context, ask.reply, ask.id);
--- a/Tests/scheduler/claim_failure_test.cc
+++ b/Tests/scheduler/claim_failure_test.cc
@@ -232,8 +232,8 @@
                       .workers = 1,
                       .minions = 1,
                       .seed = seed,
-                      .repeat = 1,
-                      .hold_back = 1});
+                      .duplication_probability = 1,
+                      .delay_probability = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
     for (int it = 0; it < 8; ++it) {
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -75,8 +75,8 @@
                       .workers = 1,
                       .minions = 1,
                       .seed = seed,
-                      .repeat = 1,
-                      .hold_back = 1});
+                      .duplication_probability = 1,
+                      .delay_probability = 1});
     REQUIRE(Settle(group));
     group.Run(seconds(2));
     SubmittedRequests requests(group);
@@ -240,7 +240,7 @@
     }
     group.Run(milliseconds(200));
     for (int it = 0; it < 4; ++it) {
-      group.Ask("d0-e0", NameOf("cancelled", it), true);
+      group.QueryWork("d0-e0", NameOf("cancelled", it), true);
     }
     group.Run(milliseconds(400));
     requests.SubmitMany("d0-e0", "last", 4, 10);
--- a/Tests/scheduler/worker_failure_test.cc
+++ b/Tests/scheduler/worker_failure_test.cc
@@ -122,7 +122,7 @@
       },
       seconds(120)));
   CHECK(most <= 2);
-  CHECK(!group.LinesOf(EventNumber::kJobJudgedBad).empty());
+  CHECK(!group.LogLinesOf(EventNumber::kJobJudgedBad).empty());
   CHECK(group.Violations() == "");
 }
 
@@ -144,7 +144,7 @@
     }
     most = std::max(most, now);
   }
-  CHECK(!group.LinesOf(EventNumber::kQuarantineCapReached).empty());
+  CHECK(!group.LogLinesOf(EventNumber::kQuarantineCapReached).empty());
   CHECK(most == 2);
 }
 
@@ -158,8 +158,8 @@
   const std::string job = AcceptJob(group, "d0-e0", bad);
   CHECK(RunUntilEnded(group, job, seconds(120)));
   CHECK(group.StatusOf(job)->failed == 200);
-  CHECK(group.LinesOf(EventNumber::kWorkerQuarantined).empty());
-  CHECK(group.LinesOf(EventNumber::kJobJudgedBad).size() == 1);
+  CHECK(group.LogLinesOf(EventNumber::kWorkerQuarantined).empty());
+  CHECK(group.LogLinesOf(EventNumber::kJobJudgedBad).size() == 1);
 }
 
 // Guards against starts beyond the declared capacity of a worker. Tasks use
@@ -273,7 +273,7 @@
     }
   }
   CHECK(RunUntilDone(group, job, seconds(200)));
-  CHECK(group.LinesOf(EventNumber::kGangStarted).size() == 2);
+  CHECK(group.LogLinesOf(EventNumber::kGangStarted).size() == 2);
   CHECK(group.recorder().executions() == 60);
   CHECK(Overcommits(group) == 0);
   CHECK(group.Violations() == "");
@@ -296,7 +296,7 @@
     CHECK(RunUntilEnded(group, it, seconds(120)));
     CHECK(group.StatusOf(it)->done == 40);
   }
-  const auto quarantined = group.LinesOf(EventNumber::kWorkerQuarantined);
+  const auto quarantined = group.LogLinesOf(EventNumber::kWorkerQuarantined);
   REQUIRE(!quarantined.empty());
   const std::size_t starts = group.worker("d0-w2").executions().size();
   MESSAGE("starts on the black hole: " << starts << " of "
