--- a/Source/scheduler/fair_queue.cc
+++ b/Source/scheduler/fair_queue.cc
@@ -5,19 +5,14 @@
 
 namespace burdockrock {
 
-namespace {
-
-constexpr double kMinWeight = 0.001;
-
-}  // namespace
-
 void FairQueue::Push(const std::string& team, double weight, std::string id) {
   auto [it, inserted] = teams_.try_emplace(team);
   if (inserted) {
     it->second.virtual_time = virtual_now_;
     ranks_.insert({.virtual_time = virtual_now_, .team = team});
   }
-  it->second.weight = std::max(weight, kMinWeight);
+  // The minimum bounds the step of the virtual time.
+  it->second.weight = std::max(weight, 0.001);
   it->second.items.push_back(std::move(id));
   ++size_;
 }
