--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -36,68 +36,70 @@
 }
 
 void QueryWriter(Context& context,
-                 const WorkQueryArrived& asked,
+                 const WorkQueryArrived& query,
                  const std::string& writer) {
   Jobs& jobs = context.state().jobs;
   const std::uint64_t query_id = jobs.next_ask++;
-  jobs.asks.emplace(query_id, OpenAsk{.reply = asked.reply,
-                                 .id = asked.id,
-                                 .cancel = asked.cancel,
-                                 .until = context.now() + kQueryTimeout});
-  context.Send(writer,
-               AskWork{.ask = query_id, .id = asked.id, .cancel = asked.cancel});
+  jobs.asks.emplace(query_id, OpenAsk{.reply = query.reply,
+                                      .id = query.id,
+                                      .cancel = query.cancel,
+                                      .until = context.now() + kQueryTimeout});
+  context.Send(
+      writer, AskWork{.ask = query_id, .id = query.id, .cancel = query.cancel});
 }
 
 }  // namespace
 
-void OnWorkAsked(Context& context, const WorkQueryArrived& asked) {
-  const auto request = asked.cancel ? CancelRequest(context, asked.id)
-                                    : RequestStatus(context, asked.id);
+void OnWorkAsked(Context& context, const WorkQueryArrived& query) {
+  const auto request = query.cancel ? CancelRequest(context, query.id)
+                                    : RequestStatus(context, query.id);
   if (request) {
-    context.Answer(asked.reply, *request);
+    context.Answer(query.reply, *request);
     return;
   }
-  Job* job = FindJob(context, asked.id);
-  if (job != nullptr && asked.cancel) {
-    job->cancel_replies.push_back(asked.reply);
+  Job* job = FindJob(context, query.id);
+  if (job != nullptr && query.cancel) {
+    job->cancel_replies.push_back(query.reply);
     CancelJob(context, *job);
     return;
   }
   if (job != nullptr) {
-    context.Answer(asked.reply, *JobStatus(context, asked.id));
+    context.Answer(query.reply, *JobStatus(context, query.id));
     return;
   }
-  const std::string log = LogOfJob(asked.id);
+  const std::string log = LogOfJob(query.id);
   const std::string writer = log.empty() ? "" : WriterOf(context, log);
   if (writer.empty() && !log.empty()) {
-    AnswerWriterUnknown(context, asked.reply, asked.id);
+    AnswerWriterUnknown(context, query.reply, query.id);
     return;
   }
   if (writer.empty() || writer == context.self()) {
-    AnswerNotFound(context, asked.reply, asked.id);
+    AnswerNotFound(context, query.reply, query.id);
     return;
   }
-  QueryWriter(context, asked, writer);
+  QueryWriter(context, query, writer);
 }
 
-void OnAskWork(Context& context, const std::string& from, const AskWork& ask) {
-  Job* job = FindJob(context, ask.id);
+void OnAskWork(Context& context,
+               const std::string& from,
+               const AskWork& query) {
+  Job* job = FindJob(context, query.id);
   if (job == nullptr) {
     const bool writes =
-        context.state().jobs.journals.contains(LogOfJob(ask.id));
-    context.Send(
-        from, AskWorkAnswer{.ask = ask.ask, .found = false, .writes = writes});
+        context.state().jobs.journals.contains(LogOfJob(query.id));
+    context.Send(from, AskWorkAnswer{
+                           .ask = query.ask, .found = false, .writes = writes});
     return;
   }
-  if (ask.cancel) {
+  if (query.cancel) {
     job->cancel_peer = from;
-    job->cancel_ask = ask.ask;
+    job->cancel_ask = query.ask;
     CancelJob(context, *job);
     return;
   }
-  context.Send(from, AskWorkAnswer{.ask = ask.ask,
+  context.Send(from, AskWorkAnswer{.ask = query.ask,
                                    .found = true,
-                                   .status = *JobStatus(context, ask.id)});
+                                   .status = *JobStatus(context, query.id)});
 }
 
 // The writer may be lost together with the query: its caller is answered that
@@ -105,8 +107,8 @@
 void ExpireAsks(Context& context) {
   Jobs& jobs = context.state().jobs;
   for (auto it = jobs.asks.begin(); it != jobs.asks.end();) {
-    const OpenAsk& ask = it->second;
-    if (context.now() < ask.until) {
+    const OpenAsk& query = it->second;
+    if (context.now() < query.until) {
       ++it;
       continue;
     }
@@ -115,13 +117,13 @@
                                  "the writer of the job's journal does "
                                  "not answer; ask again",
                              .retry_after = kQueryRetryAfter};
-    if (ask.cancel) {
+    if (query.cancel) {
       verdict = MayHaveRun{.reason = Reason::kOwnerLost,
                            .detail =
                                "the writer of the job's journal does not "
                                "answer; cancel again"};
     }
-    context.Answer(ask.reply, WorkAnswer{.id = ask.id, .verdict = verdict});
+    context.Answer(query.reply, WorkAnswer{.id = query.id, .verdict = verdict});
     it = jobs.asks.erase(it);
   }
 }
@@ -132,18 +134,18 @@
   if (it == jobs.asks.end()) {
     return;  // duplicate
   }
-  const OpenAsk ask = it->second;
+  const OpenAsk query = it->second;
   jobs.asks.erase(it);
   if (!answer.found && !answer.writes) {
     // The journal has just moved to another writer, which may have the job.
-    AnswerWriterUnknown(context, ask.reply, ask.id);
+    AnswerWriterUnknown(context, query.reply, query.id);
     return;
   }
   if (!answer.found) {
-    AnswerNotFound(context, ask.reply, ask.id);
+    AnswerNotFound(context, query.reply, query.id);
     return;
   }
-  context.Answer(ask.reply, answer.status);
+  context.Answer(query.reply, answer.status);
 }
 
 }  // namespace burdockrock
