--- a/Tests/bench/decision_bench.cc
+++ b/Tests/bench/decision_bench.cc
@@ -115,7 +115,7 @@
   std::uint64_t starts = 0;
   while (state.jobs.queued_tasks > 0) {
     const std::int64_t waiting = state.jobs.queued_tasks;
-    state.tasks.wanted = true;
+    state.tasks.pass_needed = true;
     Sample pass;
     // Answers no call, so that only the pass itself takes time.
     entry.Step(PlatformAnswered{}, pass);
