--- a/Source/engine/advice/advice.cc
+++ b/Source/engine/advice/advice.cc
@@ -104,8 +104,8 @@
   // After a query without a reply, only members are chosen that have sent an
   // update since then: a whole failure domain may be cut off at once.
   const Time updated_since = ready.run().advice_unanswered
-                               ? ready.run().advice_called_at
-                               : Time::min();
+                                 ? ready.run().advice_called_at
+                                 : Time::min();
   const std::string member = ChooseAdviceCaller(context, ready.queue->priority,
                                                 expected, updated_since);
   const Duration wait = WaitAt(context, member, ready.queue->priority);
--- a/Source/engine/advice/advice_queue.cc
+++ b/Source/engine/advice/advice_queue.cc
@@ -49,8 +49,8 @@
   Duration wait = late;
   if (advice.in_flight) {
     const Duration elapsed = now - advice.called_at;
-    wait +=
-        std::max(advice.in_flight->request.expected + late - elapsed, Duration(0));
+    wait += std::max(advice.in_flight->request.expected + late - elapsed,
+                     Duration(0));
   }
   for (const QueuedAdviceCall& it : advice.call_queue) {
     const bool before =
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -140,7 +140,8 @@
   std::vector<std::string> chosen;
   for (const NamedWorker& it : names) {
     const bool roomless = !it.has_room && chosen.size() >= kMaxRoomlessWorkers;
-    if (roomless || chosen.size() == kMaxAdvisedWorkers || HasEnoughWorkers(call)) {
+    if (roomless || chosen.size() == kMaxAdvisedWorkers ||
+        HasEnoughWorkers(call)) {
       break;
     }
     chosen.push_back(it.id);
--- a/Source/engine/condition_log.cc
+++ b/Source/engine/condition_log.cc
@@ -108,8 +108,7 @@
   for (const auto& [id, worker] : context.state.owned) {
     const Time leases_end = ForeignLeasesEnd(context, worker);
     const bool waits = IsUnresponsive(worker) && leases_end > context.now;
-    if (!waits ||
-        !limiter.IsDue(id, context.now, worker.unresponsive_since)) {
+    if (!waits || !limiter.IsDue(id, context.now, worker.unresponsive_since)) {
       continue;
     }
     const auto view = context.state.view.find(id);
--- a/Source/engine/jobs/adoption.cc
+++ b/Source/engine/jobs/adoption.cc
@@ -38,7 +38,7 @@
                   OrphanScan& scan) {
   scan.in_flight = true;
   SendStoreRequest(context, StoreRange{.prefix = prefix, .after = scan.after},
-           ForOrphanScan{.prefix = prefix});
+                   ForOrphanScan{.prefix = prefix});
 }
 
 void BeginScan(Context& context, const std::string& prefix) {
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -96,10 +96,11 @@
                     const OfferAnswer& answer) {
   if (answer.outcome == OfferOutcome::kOldRun ||
       answer.outcome == OfferOutcome::kOldOwner) {
-    return kOfferRetryDelay;  // the end of a run as high or higher may be in flight
+    return kOfferRetryDelay;  // the end of a run as high or higher may be in
+                              // flight
   }
   return LooksFree(context, ref, answer.worker) ? kRefusedTaskDelay
-                                                  : Duration(0);
+                                                : Duration(0);
 }
 
 void OnRefused(Context& context,
--- a/Source/engine/jobs/run_queries.cc
+++ b/Source/engine/jobs/run_queries.cc
@@ -76,8 +76,7 @@
   const Watch& members =
       context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
   return IsUnresponsive(worker) && !worker.unverified &&
-         members.known_to >= queried_at &&
-         IsRegistrationCurrent(context) &&
+         members.known_to >= queried_at && IsRegistrationCurrent(context) &&
          ChooseMember(context.state, worker.info.id, worker.info.domain) ==
              context.self();
 }
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -81,11 +81,11 @@
     return false;
   }
   state.urgent_checked_at = context.now;
-  return std::any_of(state.changed.begin(), state.changed.end(),
-                     [&](const std::string& it) {
-                       const auto room = RoomOfWorker(context, it);
-                       return room && state.sent_workers[it] != ReportedOf(*room);
-                     });
+  return std::any_of(
+      state.changed.begin(), state.changed.end(), [&](const std::string& it) {
+        const auto room = RoomOfWorker(context, it);
+        return room && state.sent_workers[it] != ReportedOf(*room);
+      });
 }
 
 Duration IntervalOf(const State& state) {
--- a/Source/engine/members/membership.cc
+++ b/Source/engine/members/membership.cc
@@ -129,7 +129,7 @@
           .puts = {{.key = key,
                     .value = EncodeMember(context.state.options.self),
                     .lease = members.lease}}},
-           ForFenceAdvance{});
+      ForFenceAdvance{});
 }
 
 // A machine runs one process at a time, so earlier ones on `node` have ended.
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -32,7 +32,7 @@
                    StoreRange{.prefix = std::string(kNodePrefix),
                               .after = nodes.after,
                               .may_be_stale = forget},
-           ForNodeRecords{.remove = forget});
+                   ForNodeRecords{.remove = forget});
 }
 
 void AddNode(Context& context, const std::string& node) {
--- a/Source/engine/members/planned_stop.cc
+++ b/Source/engine/members/planned_stop.cc
@@ -64,7 +64,8 @@
 
 Time StopDeadline(const State& state) {
   const Duration grace = state.options.bounds.grace;
-  return state.stop.requested_at + grace - std::min(kFinalAnswerReserve, grace / 2);
+  return state.stop.requested_at + grace -
+         std::min(kFinalAnswerReserve, grace / 2);
 }
 
 void DriveStop(Context& context) {
--- a/Source/engine/records/catalog.cc
+++ b/Source/engine/records/catalog.cc
@@ -16,8 +16,8 @@
 constexpr Duration kEntryTtl = milliseconds(60'000);
 // The owner of a job without runs or ends here is still needed for late
 // messages and for former owners that do not know yet that they were replaced.
-// These have given up after kMaxRenewalWithoutStore; fifty times that costs little
-// memory.
+// These have given up after kMaxRenewalWithoutStore; fifty times that costs
+// little memory.
 constexpr Duration kKnownJobTtl = milliseconds(600'000);
 
 std::size_t ReadsInFlight(const State& state) {
--- a/Source/engine/records/record_sweep.cc
+++ b/Source/engine/records/record_sweep.cc
@@ -26,7 +26,7 @@
                    StoreRange{.prefix = std::string(kJobPrefix),
                               .after = sweep.after,
                               .may_be_stale = true},
-           ForRecordSweep{});
+                   ForRecordSweep{});
 }
 
 bool IsExpired(const Context& context, const JobRecord& record) {
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -246,7 +246,7 @@
   review.in_flight = true;
   review.sent_at = context.now;
   SendStoreRequest(context, StoreRange{.prefix = std::string(kMemberPrefix)},
-           ForMembersCheck{});
+                   ForMembersCheck{});
 }
 
 void OnMembersRead(Context& context, const StoreAnswer& answer) {
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -112,7 +112,8 @@
     context.state.members.last_contact = context.now;
   }
   void operator()(const TimePassed&) {}
-  void operator()(const CallerRequestReceived& it) { OnCallerRequest(context, it);
+  void operator()(const CallerRequestReceived& it) {
+    OnCallerRequest(context, it);
   }
   void operator()(const StoreAnswered& it) {
     if (auto purpose = TakeStoreCall(context, it)) {
--- a/Source/engine/workers/run_ends.cc
+++ b/Source/engine/workers/run_ends.cc
@@ -114,7 +114,8 @@
   std::map<std::string, EndReports> by_owner;
   for (auto& [id, worker] : context.state.owned) {
     for (auto& [sequence, end] : worker.ends) {
-      if (end.stored || !HasPassed(context.now, end.reported_at, kEndReportInterval)) {
+      if (end.stored ||
+          !HasPassed(context.now, end.reported_at, kEndReportInterval)) {
         continue;
       }
       end.reported_at = context.now;
--- a/Source/engine/workers/worker_owner.cc
+++ b/Source/engine/workers/worker_owner.cc
@@ -67,8 +67,7 @@
       worker.missed_since != Time(0) &&
       HasPassed(context.now, worker.missed_since, kMaxRenewalWithoutAnswer);
   const bool without_store = HasPassed(
-      context.now, context.state.members.last_contact,
-                               kMaxRenewalWithoutStore);
+      context.now, context.state.members.last_contact, kMaxRenewalWithoutStore);
   return worker.claimed && !unresponsive && !without_store &&
          !context.state.stop.released;
 }
@@ -229,7 +228,8 @@
 void AnnounceLost(Context& context,
                   const std::string& id,
                   std::uint64_t fence) {
-  context.state.lost_workers[id] = LostWorker{.fence = fence, .since = context.now};
+  context.state.lost_workers[id] =
+      LostWorker{.fence = fence, .since = context.now};
   context.state.digest.changed.insert(id);
 }
 
--- a/Source/scheduler/reducer.cc
+++ b/Source/scheduler/reducer.cc
@@ -200,7 +200,8 @@
   void operator()(const JobArrived& event) const {
     OnJobArrived(context, event);
   }
-  void operator()(const WorkQueryArrived& event) const { OnWorkQuery(context, event);
+  void operator()(const WorkQueryArrived& event) const {
+    OnWorkQuery(context, event);
   }
   void operator()(const CallerDisconnected& /*event*/) const {}
   void operator()(const ConfigRequested& event) const {
--- a/Source/scheduler/work_queries.cc
+++ b/Source/scheduler/work_queries.cc
@@ -40,10 +40,11 @@
                  const std::string& writer) {
   Jobs& jobs = context.state().jobs;
   const std::uint64_t query_id = jobs.next_query++;
-  jobs.forwarded_queries.emplace(query_id, ForwardedQuery{.reply = query.reply,
-                          .id = query.id,
-                          .cancel = query.cancel,
-                          .deadline = context.now() + kQueryTimeout});
+  jobs.forwarded_queries.emplace(
+      query_id, ForwardedQuery{.reply = query.reply,
+                               .id = query.id,
+                               .cancel = query.cancel,
+                               .deadline = context.now() + kQueryTimeout});
   context.Send(
       writer, AskWork{.ask = query_id, .id = query.id, .cancel = query.cancel});
 }
--- a/Tests/engine/advice_callers_test.cc
+++ b/Tests/engine/advice_callers_test.cc
@@ -172,10 +172,10 @@
   };
   for (const char* it : {"j1.0.0", "j2.0.0"}) {
     fleet.DeliverPeerMessage("n0", "n1-1",
-               PeerAdviceRequest{.call = 1,
-                                 .step = it,
-                                 .expected = milliseconds(500),
-                                 .workers = {"w0-1"}});
+                             PeerAdviceRequest{.call = 1,
+                                               .step = it,
+                                               .expected = milliseconds(500),
+                                               .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(50));
   fleet.Kill("n1");
@@ -266,11 +266,12 @@
     return milliseconds(600);
   };
   for (std::uint64_t it = 0; it < 4; ++it) {
-    fleet.DeliverPeerMessage("n0", "n1-1",
-               PeerAdviceRequest{.call = it + 1,
-                                 .step = fmt::format("j{}.0.0", it),
-                                 .expected = milliseconds(40),
-                                 .workers = {"w0-1"}});
+    fleet.DeliverPeerMessage(
+        "n0", "n1-1",
+        PeerAdviceRequest{.call = it + 1,
+                          .step = fmt::format("j{}.0.0", it),
+                          .expected = milliseconds(40),
+                          .workers = {"w0-1"}});
   }
   fleet.Run(milliseconds(1300));  // two of the calls are answered
   CHECK(UrgentAdviceWait(fleet.state("n0"), fleet.now()) > milliseconds(800));
@@ -336,10 +337,10 @@
     return milliseconds(20);
   };
   fleet.DeliverPeerMessage("n0", "n9-1",
-             PeerAdviceRequest{.call = 1,
-                               .step = "j1.0.0",
-                               .expected = milliseconds(20),
-                               .workers = {"w0-1"}});
+                           PeerAdviceRequest{.call = 1,
+                                             .step = "j1.0.0",
+                                             .expected = milliseconds(20),
+                                             .workers = {"w0-1"}});
   fleet.Run(milliseconds(100));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j1.0.0");
 }
--- a/Tests/engine/advice_test.cc
+++ b/Tests/engine/advice_test.cc
@@ -126,11 +126,11 @@
   for (std::uint64_t it = 0; it < 5; ++it) {
     fleet.DeliverPeerMessage(
         "n0", "n1-1",
-               PeerAdviceRequest{.call = it + 1,
-                                 .step = "j" + std::to_string(it) + ".0.0",
-                                 .expected = milliseconds(100),
-                                 .timeout = milliseconds(150),
-                                 .workers = {"w0-1"}});
+        PeerAdviceRequest{.call = it + 1,
+                          .step = "j" + std::to_string(it) + ".0.0",
+                          .expected = milliseconds(100),
+                          .timeout = milliseconds(150),
+                          .workers = {"w0-1"}});
   }
   fleet.Run(seconds(2));
   CHECK(fmt::format("{}", fmt::join(steps, " ")) == "j0.0.0 j1.0.0");
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -7,8 +7,8 @@
 #include <variant>
 #include <vector>
 
-#include "scheduler/submitted_requests.h"
 #include "scheduler/entry_group.h"
+#include "scheduler/submitted_requests.h"
 #include "scheduler/work_samples.h"
 
 namespace burdockrock {
