--- a/Source/engine/advice/advice_callers.h
+++ b/Source/engine/advice/advice_callers.h
@@ -14,7 +14,7 @@
 bool IsLongCall(Duration expected);
 
 // The instance where a call of this length waits least, among this one and the
-// members that have sent an update since `heard_since`.
+// members that have sent an update since `updated_since`.
 std::string ChooseAdviceCaller(const Context& context,
                                std::uint32_t priority,
                                Duration expected,
--- a/Source/engine/advice/advice_queue.cc
+++ b/Source/engine/advice/advice_queue.cc
@@ -70,9 +70,9 @@
 }
 
 std::deque<QueuedAdviceCall>::iterator NextCall(
-    std::deque<QueuedAdviceCall>& turns) {
+    std::deque<QueuedAdviceCall>& queue) {
   return std::min_element(
-      turns.begin(), turns.end(),
+      queue.begin(), queue.end(),
       [](const QueuedAdviceCall& left, const QueuedAdviceCall& right) {
         return RankOf(left) < RankOf(right);
       });
--- a/Source/engine/advice/advised_names.cc
+++ b/Source/engine/advice/advised_names.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Maximum number of workers without free room in a call. They are named because
-// room may become free there.
+// Workers without free room, where room may become free, are added only while
+// the call names fewer than this many workers of any kind.
 constexpr std::size_t kMaxRoomlessWorkers = 10;
 
 struct NamedWorker {
--- a/Source/engine/call_codec.h
+++ b/Source/engine/call_codec.h
@@ -6,8 +6,8 @@
 //   {"jsonrpc":"2.0","id":1,"result":{"outcome":"absent","value":{}}}
 //
 // Methods of a store: read, range, watch, transaction, grant_lease, renew_lease
-// and end_lease; of a worker: hold, start, stop and pace; of the advice
-// service: advise; of the service of machines: list, upkeep and move.
+// and end_lease; of a worker: hold (the poll), start, stop and pace; of the
+// advice service: advise; of the service of machines: list, upkeep and move.
 #ifndef BURDOCKROCK_ENGINE_CALL_CODEC_H_
 #define BURDOCKROCK_ENGINE_CALL_CODEC_H_
 
@@ -41,7 +41,7 @@
 AdviceAnswer DecodeAdviceResult(const HttpResult& result);
 MachineAnswer DecodeMachineResult(const HttpResult& result);
 
-// The server's side, for stand-ins of the services.
+// The server's side, for test servers.
 Decoded<StoreRequest> DecodeStoreCall(std::string_view body);
 Decoded<AddressedWorkerRequest> DecodeWorkerCall(std::string_view body);
 Decoded<AdviceRequest> DecodeAdviceCall(std::string_view body);
--- a/Source/engine/jobs/caller_requests.cc
+++ b/Source/engine/jobs/caller_requests.cc
@@ -166,9 +166,9 @@
     }
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
       for (const Task& it : occurrence.steps[s].tasks) {
-        const bool may_be_applied =
+        const bool may_have_ended =
             it.phase == TaskPhase::kDone || it.phase == TaskPhase::kRunning;
-        if (!may_be_applied || job.spec.steps[s].lasting) {
+        if (!may_have_ended || job.spec.steps[s].lasting) {
           return false;
         }
       }
@@ -308,11 +308,11 @@
 
 void OnCallerQuery(Context& context,
                    std::uint64_t call,
-                   CallerQuery question,
+                   CallerQuery query,
                    const std::string& job) {
   const std::uint64_t id = ++context.state.last_query;
   PendingCallerQuery caller{.call = call,
-                            .query = question,
+                            .query = query,
                             .job = job,
                             .since = context.now,
                             .deadline = QueryDeadline(context)};
--- a/Source/engine/jobs/job_runs.cc
+++ b/Source/engine/jobs/job_runs.cc
@@ -187,7 +187,7 @@
   return down < std::max(ref.spec.may_miss, 1U);
 }
 
-// The run's worker is being drained.
+// The run's worker is being emptied for upkeep or a move.
 void OnUnwanted(Context& context, const TaskRef& ref) {
   ref.task.last_update = context.now;
   if (!ref.task.stopping && MayDisrupt(context, ref)) {
--- a/Source/engine/jobs/job_table.cc
+++ b/Source/engine/jobs/job_table.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Run numbers of one task that are reserved for each owner of its job; more
-// than the starts that one owner can reach.
+// Run numbers of a task reserved for each owner of its job; each offer uses
+// one, also a refused one. More would overlap the next owner's range.
 constexpr std::uint64_t kRunsPerOwner = 1000;
 
 std::string FormatSpan(const Job& job, Time at) {
--- a/Source/engine/jobs/open_work.cc
+++ b/Source/engine/jobs/open_work.cc
@@ -30,7 +30,8 @@
   }
 }
 
-// When the claim was first sent; `now` if it was not sent yet.
+// When the worker became unresponsive, or else when the poll in flight was
+// sent; `now` if there is neither.
 Time ClaimedSince(const OwnedWorker& worker, Time now) {
   if (worker.unresponsive_since != Time(0)) {
     return worker.unresponsive_since;
--- a/Source/engine/jobs/preemption.h
+++ b/Source/engine/jobs/preemption.h
@@ -10,7 +10,8 @@
 namespace burdockrock::engine {
 
 // Room of the runs that can be preempted at little cost: they checkpoint, so
-// that a stop discards no work, and nothing else depends on them.
+// that a stop discards little work. Excludes gang, lasting and filling runs and
+// those of the highest priority.
 Resources PreemptibleRoom(const OwnedWorker& worker);
 
 // Stops as many runs as it takes to make `room` free. False, with nothing
--- a/Source/engine/members/digests.cc
+++ b/Source/engine/members/digests.cc
@@ -39,7 +39,7 @@
   for (const auto& [id, worker] : state.owned) {
     all.insert(id);
   }
-  for (const auto& [id, gone] : state.lost_workers) {
+  for (const auto& [id, lost] : state.lost_workers) {
     all.insert(id);
   }
   return all;
@@ -179,11 +179,11 @@
     ClampToZero(room.free);
     return room;
   }
-  const auto gone = context.state.lost_workers.find(id);
-  if (gone == context.state.lost_workers.end()) {
+  const auto lost = context.state.lost_workers.find(id);
+  if (lost == context.state.lost_workers.end()) {
     return std::nullopt;
   }
-  return WorkerRoom{.worker = id, .fence = gone->second.fence, .lost = true};
+  return WorkerRoom{.worker = id, .fence = lost->second.fence, .lost = true};
 }
 
 void OnRoom(Context& context, const std::string& from, const WorkerRoom& it) {
--- a/Source/engine/members/node_records.cc
+++ b/Source/engine/members/node_records.cc
@@ -13,7 +13,8 @@
 // Well above the time for which a process renews worker leases without the
 // store.
 constexpr Duration kRecordLifetime = milliseconds(60'000);
-// Operations of one transaction; the next round removes more.
+// Operations of one transaction, two for each record. A round reads only the
+// first page; the next round removes more of it.
 constexpr std::size_t kMaxRemovalOperations = 30;
 
 constexpr const char* kRemovalKey = "node records";
--- a/Source/engine/members/unresponsive_members.cc
+++ b/Source/engine/members/unresponsive_members.cc
@@ -25,34 +25,38 @@
 }
 
 void NoteMessageReceived(Context& context, const std::string& member) {
-  UnresponsiveMembers& silence = context.state.unresponsive_members;
-  auto offered = silence.awaiting_reply.extract(member);
+  UnresponsiveMembers& unresponsive_members =
+      context.state.unresponsive_members;
+  auto offered = unresponsive_members.awaiting_reply.extract(member);
   if (offered.empty()) {
-    offered = silence.unresponsive.extract(member);
+    offered = unresponsive_members.unresponsive.extract(member);
     context.state.placement_due |= !offered.empty();
   }
   if (!offered.empty()) {
     const Duration elapsed = context.now - offered.mapped();
-    silence.response_time =
-        silence.response_time.With(std::min(elapsed, kMaxOfferTimeout));
+    unresponsive_members.response_time =
+        unresponsive_members.response_time.With(
+            std::min(elapsed, kMaxOfferTimeout));
   }
 }
 
 void DriveUnresponsiveMembers(Context& context) {
-  UnresponsiveMembers& silence = context.state.unresponsive_members;
-  std::erase_if(silence.unresponsive, [&](const auto& it) {
+  UnresponsiveMembers& unresponsive_members =
+      context.state.unresponsive_members;
+  std::erase_if(unresponsive_members.unresponsive, [&](const auto& it) {
     return FindMember(context.state, it.first) == nullptr;
   });
-  const Duration timeout =
-      silence.response_time.Timeout(kMinOfferTimeout, kMaxOfferTimeout);
-  for (auto it = silence.awaiting_reply.begin();
-       it != silence.awaiting_reply.end();) {
+  const Duration timeout = unresponsive_members.response_time.Timeout(
+      kMinOfferTimeout, kMaxOfferTimeout);
+  for (auto it = unresponsive_members.awaiting_reply.begin();
+       it != unresponsive_members.awaiting_reply.end();) {
     if (!HasPassed(context.now, it->second, timeout)) {
       ++it;
       continue;
     }
     context.Log(EventNumber::kOffersUnanswered, {{"member", it->first}});
-    silence.unresponsive.insert(silence.awaiting_reply.extract(it++));
+    unresponsive_members.unresponsive.insert(
+        unresponsive_members.awaiting_reply.extract(it++));
   }
 }
 
--- a/Source/engine/records/job_codec.cc
+++ b/Source/engine/records/job_codec.cc
@@ -171,11 +171,11 @@
                          .queue = std::string(path.substr(kQueue.size()))};
   }
   if (path.starts_with(kJob)) {
-    const auto question = QueryForMethod(request.method);
-    if (!question) {
+    const auto query = QueryForMethod(request.method);
+    if (!query) {
       return MethodNotAllowed(request.method, "GET, DELETE");
     }
-    return CallerRequest{.query = *question,
+    return CallerRequest{.query = *query,
                          .job = std::string(path.substr(kJob.size()))};
   }
   auto submission = ReadSubmission(request.body);
--- a/Source/engine/records/job_codec.h
+++ b/Source/engine/records/job_codec.h
@@ -12,8 +12,8 @@
 
 namespace burdockrock::engine {
 
-// Whether the request is one of these. Flat jobs share the paths; their ids
-// contain a dot.
+// Whether the request is for a job of steps or a queue. Other jobs share the
+// paths: their ids contain a dot, and their submissions have no "steps".
 bool IsJobRequest(const HttpRequest& request);
 
 // The decoded request, or the response that refuses an invalid one.
--- a/Source/engine/records/watches.cc
+++ b/Source/engine/records/watches.cc
@@ -238,20 +238,20 @@
 }
 
 void RequestMembers(Context& context) {
-  MembersCheck& review = context.state.members_check;
-  if (review.in_flight ||
-      !HasPassed(context.now, review.sent_at, kMembersReadInterval)) {
+  MembersCheck& check = context.state.members_check;
+  if (check.in_flight ||
+      !HasPassed(context.now, check.sent_at, kMembersReadInterval)) {
     return;
   }
-  review.in_flight = true;
-  review.sent_at = context.now;
+  check.in_flight = true;
+  check.sent_at = context.now;
   SendStoreRequest(context, StoreRange{.prefix = std::string(kMemberPrefix)},
                    ForMembersCheck{});
 }
 
 void OnMembersRead(Context& context, const StoreAnswer& answer) {
-  MembersCheck& review = context.state.members_check;
-  review.in_flight = false;
+  MembersCheck& check = context.state.members_check;
+  check.in_flight = false;
   const auto* page = std::get_if<StoreDone>(&answer);
   if (page == nullptr) {
     return;  // what needs it requests it again
@@ -263,7 +263,7 @@
   if (!page->more) {
     Watch& watch =
         context.state.watches[static_cast<std::size_t>(WatchedList::kMembers)];
-    watch.known_to = std::max(watch.known_to, review.sent_at);
+    watch.known_to = std::max(watch.known_to, check.sent_at);
   }
 }
 
--- a/Source/engine/reducer.cc
+++ b/Source/engine/reducer.cc
@@ -151,8 +151,8 @@
   }
 }
 
-// If it is, another instance serves callers better. A single failed call is not
-// enough.
+// While the store is unavailable, callers should use another instance. A single
+// failed call is not enough.
 bool StoreIsUnavailable(const State& state) {
   return !state.store.healthy &&
          HasPassed(state.drive.driven_at, state.store.last_answer,
--- a/Source/engine/workers/lease_bounds.cc
+++ b/Source/engine/workers/lease_bounds.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Between two queries without a reply. Allows a few within a lease, which has
-// to expire in any case.
+// Between two queries without a reply. Short enough for several queries before
+// a lease expires.
 constexpr Duration kQueryRepeat = milliseconds(400);
 
 // From a process's last contact with the store to the end of its last leases.
--- a/Source/engine/workers/lost_workers.cc
+++ b/Source/engine/workers/lost_workers.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A paused or slow worker replies within this time. A lagging list has by then
-// a worker that was new when it became unresponsive.
+// Long enough for a paused or slow worker to reply, and for a new worker to
+// appear in a delayed listing.
 constexpr Duration kMinUnresponsiveTime = milliseconds(1200);
 // Between two listings of one instance. The machine service allows 60 pages a
 // second for all members together, so the interval grows with their number: 30
@@ -61,7 +61,8 @@
       alive.insert(machine.worker);
     }
   }
-  // An empty list means that the service has lost its state.
+  // A list without a machine that is up means that the service has lost its
+  // state.
   if (alive.empty()) {
     return;
   }
--- a/Source/engine/workers/pacing.cc
+++ b/Source/engine/workers/pacing.cc
@@ -9,7 +9,8 @@
 // A tail latency above this share of its target counts as disturbed. Below 1,
 // as the figure is imprecise and a slower pace takes effect with a delay.
 constexpr double kDisturbedShare = 0.85;
-// Below this share for kCalmTime the filling tasks get faster again.
+// Below this share, and kCalmTime after the last change of pace, the filling
+// tasks get faster again.
 constexpr double kCalmShare = 0.6;
 constexpr Duration kCalmTime = milliseconds(1500);
 constexpr Duration kPaceSettleTime = milliseconds(600);
@@ -63,7 +64,7 @@
 
 }  // namespace
 
-// Slows down to a quarter at once and then to nothing, and speeds up again in
+// Slows down to a quarter at once and then to a pause, and speeds up again in
 // steps: a lasting task may exceed its tail target only for a few seconds.
 void AdjustPace(Context& context, const std::string& id, OwnedWorker& worker) {
   const Interference interference = InterferenceAt(worker);
--- a/Source/engine/workers/pool_rule.h
+++ b/Source/engine/workers/pool_rule.h
@@ -1,6 +1,7 @@
 // Decides when a machine of a standby pool is moved to a service, and when it
 // is returned. Pure functions. They target load for which jobs wait for seconds
-// although every placement was tried, as at the start of a season.
+// although every placement was tried, as at the start of a lasting rise in
+// load.
 #ifndef BURDOCKROCK_ENGINE_WORKERS_POOL_RULE_H_
 #define BURDOCKROCK_ENGINE_WORKERS_POOL_RULE_H_
 
--- a/Source/engine/workers/worker_list.cc
+++ b/Source/engine/workers/worker_list.cc
@@ -128,8 +128,8 @@
   bool changed = false;
   for (const RememberedWorker& it : workers) {
     const auto view = context.state.view.find(it.worker);
-    const bool gone = view != context.state.view.end() && view->second.lost;
-    if (gone || context.state.workers.contains(it.worker)) {
+    const bool lost = view != context.state.view.end() && view->second.lost;
+    if (lost || context.state.workers.contains(it.worker)) {
       continue;
     }
     context.state.workers[it.worker] =
--- a/Source/engine/workers/worker_list.h
+++ b/Source/engine/workers/worker_list.h
@@ -10,7 +10,8 @@
 void OnWorkerItem(Context& context, const StoreItem& item);
 void OnWorkerRemoved(Context& context, const std::string& key);
 
-// Forgets workers that left the list more than kUnlistedKept ago.
+// Forgets workers that left the list more than kUnlistedWorkerKeptFor ago,
+// except those that this instance owns.
 void DriveWorkerList(Context& context);
 
 // Null when the worker is not known, or no longer known.
@@ -31,7 +32,7 @@
 std::vector<RememberedWorker> AllRemembered(const State& state);
 
 // Whether the listed and the remembered workers are all that may run tasks.
-// True once this instance has followed the list for kUnlistedKept.
+// True once this instance has followed the list for kUnlistedWorkerKeptFor.
 bool RemembersAll(const Context& context);
 
 // Adds workers that a member remembers and this instance may not know.
--- a/Source/engine/workers/worker_owner.h
+++ b/Source/engine/workers/worker_owner.h
@@ -49,7 +49,8 @@
 // clock. Extends `lease_bound` accordingly.
 std::int64_t NextLease(Context& context, OwnedWorker& worker);
 
-// Two polls in a row got no reply.
+// Two polls in a row got no reply, or one before the claim, or the worker
+// refused a poll for a reason other than kFenced.
 bool IsUnresponsive(const OwnedWorker& worker);
 
 // Null when this instance has not claimed the worker.
