--- a/Source/scheduler/attempt_updates.cc
+++ b/Source/scheduler/attempt_updates.cc
@@ -19,7 +19,8 @@
       std::min(policy.backoff_min * (1U << shift), policy.backoff_max));
 }
 
-// Requeues the task after a backoff.
+// Requeues the task at once. Only the queueing of its job is delayed by the
+// backoff, which has no effect if the job is still queued.
 void RetryLater(Context& context, Job& job, std::uint32_t index) {
   Task& task = job.tasks[index];
   CreditTeam(context, job, index);
@@ -210,7 +211,9 @@
         FinishIfDone(context, *job);
         break;
       }
-      task->state = TaskState::kDispatching;  // counted again by the requeue
+      // Not outstanding, so that RequeueTask does not subtract the team's usage
+      // a second time.
+      task->state = TaskState::kDispatching;
       RequeueTask(context, *job, index);
       break;
     case Outcome::kLeaseLapsed:
--- a/Source/scheduler/claims.cc
+++ b/Source/scheduler/claims.cc
@@ -248,8 +248,8 @@
 }  // namespace
 
 std::string EncodeClaim(const ClaimRecord& claim) {
-  // An array, as its text is embedded in two more layers of JSON, in which each
-  // quote of a member name would be escaped to three times its length.
+  // An array is shorter: the quotes of an object's member names would be
+  // escaped twice, as the text is embedded in two more layers of JSON.
   Json::Value value(Json::arrayValue);
   value.append(claim.id);
   value.append(claim.writer);
--- a/Source/scheduler/drain.cc
+++ b/Source/scheduler/drain.cc
@@ -111,6 +111,8 @@
     return;
   }
   const Duration spent = context.now() - state.drain.started;
+  // The timer fires each kDrainInterval, so that the remainder is this small
+  // about once per kOfferInterval.
   if (spent % kOfferInterval < kDrainInterval && HasUnfinishedJobs(state)) {
     OfferJournals(context);
   }
--- a/Source/scheduler/job_records.h
+++ b/Source/scheduler/job_records.h
@@ -21,7 +21,8 @@
                      const std::string& log,
                      const std::map<std::string, LiveRecord>& records);
 
-// Returns 0 if `text` is not a number.
+// Returns the number that `text` begins with (12 for "12x"), or 0 if there is
+// none.
 std::uint64_t ParseCount(const std::string& text);
 
 }  // namespace burdockrock
--- a/Source/scheduler/journal.cc
+++ b/Source/scheduler/journal.cc
@@ -27,8 +27,9 @@
 // Distance between the generations of two adopters; a writer increments its own
 // generation with each attempt search.
 constexpr std::uint64_t kGenerationStep = std::uint64_t{1} << 20U;
-// Makes the attempt numbers of a generation higher than those of all earlier
-// ones.
+// A writer numbers its attempts upwards from its first generation,
+// shifted by this. The numbers exceed those of all earlier writers, as the
+// generation does so by at least kGenerationStep.
 constexpr std::uint64_t kAttemptsShift = 30;
 
 SlotLogOptions JournalOptions(Context& context, const std::string& name) {
--- a/Source/scheduler/membership.cc
+++ b/Source/scheduler/membership.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-// Up to this many peers, each digest is sent to all of them. Beyond that, each
-// digest is sent to only one member of each other domain, in rotation, so that
-// the number of digests grows with the members of a domain plus the number of
+// Up to this many peers, all members of the other domains get digests. Beyond
+// that, only one member of each other domain does, in rotation, so that the
+// number of digests grows with the members of a domain plus the number of
 // domains, not with their product.
 constexpr std::size_t kFullMeshPeers = 8;
 
-// Other domains get at most every second digest: they use digests only for
-// forwarding, not for the ownership of workers.
+// Other domains get only the digests whose sequence number is a multiple of
+// this: they use them only for forwarding, not for the ownership of workers.
 constexpr std::uint64_t kFarDigestInterval = 2;
 // In units of membership.peer_silent.
 constexpr std::int64_t kMinFarTimeoutFactor = 2;
@@ -163,8 +163,9 @@
   WorkerRecord& worker = ownership.workers[info.id];
   const bool was_leaving = worker.info.leaving;
   worker.info = info;
-  // `leaving` is never reset: a late, older list must not cause new work to be
-  // sent to a backend server that has left.
+  // `leaving` is never reset: a list with a higher revision may come from a
+  // part of the platform that doesn't know of the leaving yet, and must not
+  // cause new work to be sent to a backend server that has left.
   worker.info.leaving = info.leaving || was_leaving;
   if (worker.removed) {
     worker.removed = false;
--- a/Source/scheduler/requests.cc
+++ b/Source/scheduler/requests.cc
@@ -42,7 +42,8 @@
 }
 
 // Whether less time than the mean run is left before the deadline, so that a
-// slot would most likely be wasted on the request.
+// slot would most likely be wasted on the request. A request that arrived with
+// no more than that is run all the same.
 bool WillMissDeadline(const Context& context,
                       const RequestEntry& entry,
                       const ServiceQueue& queue) {
--- a/Source/scheduler/search.cc
+++ b/Source/scheduler/search.cc
@@ -201,7 +201,8 @@
   });
 }
 
-// Resumes the adopted jobs without orphaned tasks; true if none has any left.
+// Resumes the adopted jobs without orphaned tasks. Returns whether no job of
+// the journal has orphaned tasks left.
 bool ResumeSettledJobs(Context& context, const std::string& log) {
   bool all_settled = true;
   std::vector<std::string> ids;
--- a/Source/scheduler/tasks.cc
+++ b/Source/scheduler/tasks.cc
@@ -14,8 +14,9 @@
 
 namespace {
 
-// Limits of one pass, which keep the step short. A pass that reaches the limit
-// of starts is followed by another at once.
+// Limits of one pass, which keep the step short. A gang and the last queued
+// task of a job, such as the task of a job of one, don't count as starts. A
+// pass that reaches the limit of starts is followed by another at once.
 constexpr std::size_t kMaxStartsPerPass = 256;
 constexpr std::size_t kMaxBlockedPerPass = 64;
 
@@ -159,8 +160,9 @@
   return TryResult::kBlocked;
 }
 
-// Tries the jobs of a class until one task is started. Returns false if none
-// can be.
+// Tries the jobs of a class until a task of a job with more queued tasks is
+// started; returns false if there is none. A gang or the last task of a job is
+// placed without being counted: TryJob returns kNothingLeft for it.
 bool PlaceOne(Context& context, Pass& pass, std::size_t which) {
   State& state = context.state();
   auto& teams = pass.teams[which];
--- a/Tests/scheduler/claim_failure_test.cc
+++ b/Tests/scheduler/claim_failure_test.cc
@@ -67,11 +67,11 @@
 
 }  // namespace
 
-// Guards against a permit that is written twice. The first entry is paused,
-// killed or disconnected from the platform at any moment of a request; its
-// caller retries with the same key at the other two, and at the first one after
-// its recovery. Only the first entry knows what it has dispatched, and after a
-// pause it continues as if no time had passed.
+// Guards against a non-idempotent request that runs twice. The first entry is
+// paused, killed or disconnected from the platform at any moment of a request;
+// its caller retries with the same key at the other two, and at the first one
+// after its recovery. Only the first entry knows what it has dispatched, and
+// after a pause it continues as if no time had passed.
 TEST_CASE("Runs a key at most once whenever its first entry fails") {
   for (const Fault fault :
        {Fault::kPause, Fault::kKill, Fault::kCutFromPlatform}) {
@@ -102,9 +102,9 @@
   }
 }
 
-// Guards against a permit that is written twice when callers send the same key
-// to three entries at the same moment, and again while the first requests are
-// in flight. No entry knows of the requests at the others.
+// Guards against a non-idempotent request that runs twice when callers send the
+// same key to three entries at the same moment, and again while the first
+// requests are in flight. No entry knows of the requests at the others.
 TEST_CASE("Dispatches a key once when several entries race for it") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     CAPTURE(seed);
@@ -188,9 +188,9 @@
   }
 }
 
-// Guards against a permit that is written twice, or whose caller is answered
-// "not run" although it was written. The minion runs the request and its answer
-// is lost, which can't be distinguished from a lost command.
+// Guards against a non-idempotent request that runs twice, or whose caller is
+// answered "not run" although it ran. The minion runs the request and its
+// answer is lost, which can't be distinguished from a lost command.
 TEST_CASE("Answers may have run, without a retry, if a run's answer is lost") {
   EntryGroup group({.entries = {2}, .workers = 1, .minions = 2});
   REQUIRE(Settle(group));
@@ -221,7 +221,7 @@
   CHECK(group.Violations() == "");
 }
 
-// Guards against a permit that is written twice. A request is forwarded to a
+// Guards against a non-idempotent request that runs twice. It is forwarded to a
 // peer in another domain, as all slots here are occupied, and each message
 // arrives twice: the late duplicate arrives when the first run has ended and
 // its entry was removed.
--- a/Tests/scheduler/config_failure_test.cc
+++ b/Tests/scheduler/config_failure_test.cc
@@ -108,8 +108,8 @@
 
 // Guards against an entry that returns to an older configuration. A cut-off
 // domain misses two changes and is reconnected; afterwards copies of both older
-// documents arrive late and twice, one of them from a member that still had
-// them. A message doesn't say when it was sent.
+// documents arrive late and twice from a member of the other domain. A message
+// doesn't say when it was sent.
 TEST_CASE("A reconnected domain applies and keeps the newest configuration") {
   EntryGroup group({.entries = {2, 2}, .workers = 1});
   REQUIRE(Settle(group));
--- a/Tests/scheduler/entry_failure_test.cc
+++ b/Tests/scheduler/entry_failure_test.cc
@@ -141,11 +141,11 @@
   CHECK(group.Violations() == "");
 }
 
-// Guards against answering "accepted" for a job that is lost. The write that
-// records a job takes effect, its answer is lost, and the writer pauses before
-// it can read back; a peer adopts its journal. The writer must not answer from
-// its state before the pause.
-TEST_CASE("A lost answer during a pause of the writer runs nothing twice") {
+// Guards against a job that runs in part or twice, or whose caller gets no
+// answer. The write that records a job takes effect, its answer is lost, and
+// the writer pauses before it can read back; a peer adopts its journal. The
+// state of the writer from before the pause is out of date.
+TEST_CASE("Runs all tasks or none if a writer pauses after a lost answer") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
   AcceptedJob(group, "d0-e0", SmallJob(JobKind::kBatch, 2));
--- a/Tests/scheduler/forwarding_test.cc
+++ b/Tests/scheduler/forwarding_test.cc
@@ -9,10 +9,10 @@
 namespace burdockrock {
 
 // Guards against forwarded requests that are answered only at their deadline,
-// with "may have run", although no message was lost (a handful of 80,000). The
-// peer's slots were occupied since its digest, so that it refuses the request.
-// It sent the refusal under an empty id, as the RequestEntry that holds the id
-// had been erased, and the forwarding entry couldn't match it.
+// with "may have run", although no message was lost. The peer's slots were
+// occupied since its digest, so that it refuses the request. It sent the
+// refusal under an empty id, as the RequestEntry that holds the id had been
+// erased, and the forwarding entry couldn't match it.
 TEST_CASE("Admits a request again after a peer has refused its forward") {
   EntryGroup group({.entries = {2}, .workers = 0, .minions = 2});
   REQUIRE(Settle(group));
--- a/Tests/scheduler/job_failure_test.cc
+++ b/Tests/scheduler/job_failure_test.cc
@@ -180,8 +180,8 @@
 
 // Guards against a gang that runs in part or keeps room that it never uses.
 // Between the offers and the replies, the writer is cut off from the members
-// that hold some of the tasks; the links are restored half a minute later. Held
-// tasks would wait for a message that can't arrive.
+// that hold some of the tasks; the links are restored 20 s later. Held tasks
+// would wait for a message that can't arrive.
 TEST_CASE("A gang whose members are cut off as it starts does not run partly") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
--- a/Tests/scheduler/leaving_failure_test.cc
+++ b/Tests/scheduler/leaving_failure_test.cc
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-// Guards against sending requests to a minion that is being removed. The list
-// shows the minion as leaving to only one member of the domain, as the other is
-// cut off from the platform. An older list arrives late, and so does one from a
-// part of the platform that doesn't know of the leaving yet. Each member reads
-// the list for itself, and lists are reordered.
+// Guards against sending requests to minions that are being removed. Three of
+// four begin to leave, in the second run with one of the two members cut off
+// from the platform. An older list arrives late, and so does one with a higher
+// revision from a part of the platform that doesn't know of the leaving yet.
+// Each member reads the list for itself, and lists are reordered.
 TEST_CASE("A minion gets no request 2 s after it is listed as leaving") {
   for (const bool is_cut : {false, true}) {
     CAPTURE(is_cut);
@@ -119,9 +119,10 @@
   CHECK(group.LogLinesOf(EventNumber::kDrainStarted).size() == 1);
 }
 
-// Guards against idle entries whose stop waits for another owner of their
-// workers.
-TEST_CASE("All entries of a domain stop promptly when nothing runs there") {
+// Guards against a stop that waits for another owner of the workers. Both
+// entries of a domain are drained shortly after a batch of short tasks was
+// submitted, so that no member is left to own the workers.
+TEST_CASE("All entries of a domain stop within 5 s if its tasks are short") {
   EntryGroup group({.entries = {2, 1}, .workers = 4});
   REQUIRE(Settle(group));
   group.Submit("d0-e1", SmallJob(JobKind::kBatch, 400));
@@ -165,9 +166,10 @@
   }
 }
 
-// Guards against entries with jobs whose stop waits for an adopter of their
-// journal.
-TEST_CASE("The last entry of a domain with queued jobs stops in time") {
+// Guards against a stop that waits for an adopter of the journal. Both entries
+// of a domain are drained shortly after ten jobs were submitted, so that no
+// member is left to adopt it.
+TEST_CASE("All entries of a domain stop within 6 s with ten jobs submitted") {
   EntryGroup group({.entries = {2, 1}, .workers = 4});
   REQUIRE(Settle(group));
   for (int it = 0; it < 10; ++it) {
@@ -182,8 +184,9 @@
       seconds(6)));
 }
 
-// Guards against a planned stop that interrupts tasks which could finish.
-TEST_CASE("The last entry of a domain lets running tasks end") {
+// Guards against a planned stop that doesn't wait for running tasks, or never
+// ends. The only entry of a domain must still be up 5 s after its drain began.
+TEST_CASE("The last entry of a domain waits for running tasks, then stops") {
   EntryGroup group({.entries = {1, 1}, .workers = 4});
   REQUIRE(Settle(group));
   const ReplyId job = group.Submit("d0-e0", LongJob(JobKind::kBatch, 4));
--- a/Tests/scheduler/property_test.cc
+++ b/Tests/scheduler/property_test.cc
@@ -278,7 +278,7 @@
 
 // Guards against failures of the guarantees above that only certain sequences
 // of faults cause. BURDOCKROCK_SEED runs a single seed.
-TEST_CASE("All guarantees hold under random failures") {
+TEST_CASE("Random failures cause no violation and lose no accepted job") {
   const char* only = std::getenv("BURDOCKROCK_SEED");
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     if (only != nullptr && std::stoull(only) != seed) {
--- a/Tests/scheduler/request_failure_test.cc
+++ b/Tests/scheduler/request_failure_test.cc
@@ -123,7 +123,7 @@
 // Guards against "not run" for a request that ran. Machines of minions are lost
 // but still listed, another minion has accepted the higher epoch of a newer
 // owner, and a peer is lost: in each case the run may or may not have started.
-TEST_CASE("Says not run truthfully if minions and peers are unreachable") {
+TEST_CASE("Never answers not run for a request that ran if servers are lost") {
   EntryGroup group({.entries = {1, 1}, .workers = 1, .minions = 3});
   REQUIRE(Settle(group));
   group.Run(seconds(2));
@@ -221,7 +221,7 @@
 // Guards against "not run" for a request that is run later, and against a
 // request that is never answered. Queued requests reach their deadline or are
 // cancelled, then the entry is drained, while the queue may still contain them.
-TEST_CASE("Says not run truthfully of requests that end in the queue") {
+TEST_CASE("Never answers not run for a queued request that runs later") {
   for (const bool is_stopped : {false, true}) {
     CAPTURE(is_stopped);
     EntryGroup group({.entries = {1}, .workers = 1, .minions = 1});
--- a/Tests/scheduler/worker_failure_test.cc
+++ b/Tests/scheduler/worker_failure_test.cc
@@ -162,11 +162,12 @@
   CHECK(group.LogLinesOf(EventNumber::kJobJudgedBad).size() == 1);
 }
 
-// Guards against starts beyond the declared capacity of a worker. Tasks use
-// eight times the resources they declare, many more are queued than fit, and an
-// owner is killed, so that another one books the running tasks. Bookings must
-// not be derived from the measured usage, and must include the attempts that
-// the worker reports at the claim.
+// Guards against starts beyond the declared capacity of a worker. The tasks
+// of one job use a tenth of the processors that they declare, those of another
+// eight times as many; more are queued than fit, and an entry is killed, so
+// that others book the running tasks. Bookings must not be derived from the
+// measured usage, and must include the attempts that the worker reports at the
+// claim.
 TEST_CASE("Overcommits no worker on wrong task sizes and a new owner") {
   EntryGroup group({.entries = {3}, .workers = 6});
   REQUIRE(Settle(group));
@@ -279,7 +280,7 @@
   CHECK(group.Violations() == "");
 }
 
-// Guards against a single broken worker that fails most tasks of all jobs. It
+// Guards against a black hole that gets most tasks of all jobs: a worker that
 // fails every task at once, so that it always has free capacity and is the best
 // choice by free capacity alone.
 TEST_CASE("Starts few tasks on a black hole until it is quarantined") {
